--- a/src/daemon/controller.cpp
+++ b/src/daemon/controller.cpp
@@ -135,14 +135,14 @@
 
 void controller::begin_term(fencing_token token, const kvstore::condition& leader) {
   store_.set_write_share(leader_write_share);
-  term_ = std::make_unique<leader::leader_term>(leader::term_environment{.runtime = runtime_,
-                                                                         .store = store_,
-                                                                         .executor = executor_,
-                                                                         .platform = platform_,
-                                                                         .rules = rules_,
-                                                                         .measured = metrics_},
-                                                token, leader, machine_types_.types(),
-                                                term_callbacks());
+  term_ = std::make_unique<leader::leader_term>(
+      leader::term_environment{.runtime = runtime_,
+                               .store = store_,
+                               .executor = executor_,
+                               .platform = platform_,
+                               .operator_settings = rules_,
+                               .controller_metrics = metrics_},
+      token, leader, machine_types_.types(), term_callbacks());
   term_->start();
 }
 
--- a/src/daemon/leader_watchdog.cpp
+++ b/src/daemon/leader_watchdog.cpp
@@ -37,7 +37,7 @@
   timer_.start(check_period, [this] { check(); });
   log_standstill();
   const auto* term = leading_term_();
-  if (term == nullptr || term->machines() == 0) return;
+  if (term == nullptr || term->known_machine_count() == 0) return;
   if (runtime_.now() - term->last_heartbeat() >= patience(*term)) step_down_for_a_peer();
 }
 
@@ -53,7 +53,7 @@
 /// still on their way to a new leader get the longer time.
 duration leader_watchdog::patience(const leader::leader_term& term) const {
   const duration longest = heartbeat_period_ * 2 + seconds(1);
-  if (term.machines() < many_machines || !term.received_heartbeats()) return longest;
+  if (term.known_machine_count() < many_machines || !term.has_received_heartbeats()) return longest;
   return std::min(longest, std::max(heartbeat_period_, redirect_delay));
 }
 
--- a/src/leader/leader_term.cpp
+++ b/src/leader/leader_term.cpp
@@ -62,23 +62,23 @@
             kvstore::writable_sizes(platform_.state_limits, platform_.announced_state_limits),
             job_table_callbacks()),
       dependencies_(runtime_, environment.store, jobs_, *this),
-      workers_(runtime_, jobs_, reconciler_options(platform_, environment.rules), token,
+      workers_(runtime_, jobs_, reconciler_options(platform_, environment.operator_settings), token,
                reconciler_callbacks()),
-      machines_(runtime_, inventory_options(platform_, environment.rules), token,
+      machines_(runtime_, inventory_options(platform_, environment.operator_settings), token,
                 inventory_callbacks()),
       context_{.runtime = runtime_,
                .platform = platform_,
-               .rules = environment.rules,
-               .measured = environment.measured,
+               .operator_settings = environment.operator_settings,
+               .controller_metrics = environment.controller_metrics,
                .token = token,
                .jobs = jobs_,
                .dependencies = dependencies_,
                .workers = workers_,
                .machines = machines_},
-      zones_(runtime_, platform_, environment.rules, workers_, machines_),
+      zones_(runtime_, platform_, environment.operator_settings, workers_, machines_),
       delegates_(environment.store, workers_),
       drain_(runtime_, jobs_, workers_),
-      decisions_(jobs_, workers_, machines_, environment.measured, token),
+      decisions_(jobs_, workers_, machines_, environment.controller_metrics, token),
       scale_in_(context_, zones_, decisions_),
       snapshots_(context_, zones_),
       loader_(context_, environment.store, loader_callbacks()),
@@ -145,7 +145,9 @@
   tick();
 }
 
-std::size_t leader_term::machines() const { return ready() ? machines_.all().size() : 0; }
+std::size_t leader_term::known_machine_count() const {
+  return ready() ? machines_.all().size() : 0;
+}
 
 double leader_term::image_cache_gb(const std::string& type_name) const {
   for (const auto& type : machines_.types()) {
--- a/src/leader/leader_term.hpp
+++ b/src/leader/leader_term.hpp
@@ -69,9 +69,9 @@
   /// When workers were last heard; the start of the term if never.
   time_point last_heartbeat() const { return heartbeats_.last_heartbeat(); }
   /// Whether any worker was heard in this term.
-  bool received_heartbeats() const { return heartbeats_.any_heartbeat(); }
+  bool has_received_heartbeats() const { return heartbeats_.any_heartbeat(); }
   /// How many machines should send heartbeats; 0 until all records have been read.
-  std::size_t machines() const;
+  std::size_t known_machine_count() const;
 
  private:
   // What the dependency tracker asks and tells.
--- a/src/leader/scale_in.cpp
+++ b/src/leader/scale_in.cpp
@@ -23,7 +23,7 @@
                    const decision_applier& decisions)
     : runtime_(context.runtime),
       platform_(context.platform),
-      rules_(context.rules),
+      rules_(context.operator_settings),
       workers_(context.workers),
       machines_(context.machines),
       zones_(zones),
--- a/src/leader/scheduling_loop.cpp
+++ b/src/leader/scheduling_loop.cpp
@@ -30,9 +30,9 @@
       snapshots_(snapshots),
       decisions_(decisions),
       machines_(context.machines),
-      metrics_(context.measured),
+      metrics_(context.controller_metrics),
       token_(context.token),
-      shortest_pause_(context.rules.pass_interval),
+      shortest_pause_(context.operator_settings.pass_interval),
       callbacks_(std::move(owner)),
       timer_(runtime_) {}
 
--- a/src/leader/term_context.hpp
+++ b/src/leader/term_context.hpp
@@ -16,8 +16,8 @@
   kvstore::client& store;
   scheduling_executor& executor;
   const config::platform_settings& platform;
-  const config::operator_settings& rules;
-  metrics& measured;
+  const config::operator_settings& operator_settings;
+  metrics& controller_metrics;
 };
 
 /// What the parts of a term share: the leader's state, the settings and the runtime. All of it
@@ -25,8 +25,8 @@
 struct term_context {
   net::runtime& runtime;
   const config::platform_settings& platform;
-  const config::operator_settings& rules;
-  metrics& measured;
+  const config::operator_settings& operator_settings;
+  metrics& controller_metrics;
   fencing_token token;
   job_store::job_table& jobs;
   dependencies::tracker& dependencies;
--- a/tests/heartbeat_router_test.cpp
+++ b/tests/heartbeat_router_test.cpp
@@ -50,7 +50,7 @@
   lead();
   EXPECT_EQ(post().status, 200);
   EXPECT_EQ(measured.heartbeats, 1U);
-  EXPECT_TRUE(term->received_heartbeats());
+  EXPECT_TRUE(term->has_received_heartbeats());
 }
 
 TEST_F(heartbeat_router_test, the_leader_refuses_a_malformed_heartbeat) {
@@ -64,7 +64,7 @@
   begin_term();
   ASSERT_FALSE(elector.may_renew_worker_leases());
   EXPECT_EQ(post().status, 421);
-  EXPECT_FALSE(term->received_heartbeats());
+  EXPECT_FALSE(term->has_received_heartbeats());
 }
 
 TEST_F(heartbeat_router_test, another_controller_redirects_to_the_leader_and_counts_it) {
--- a/tests/leader_parts.hpp
+++ b/tests/leader_parts.hpp
@@ -108,7 +108,7 @@
 
   const kvstore::service_limits wide_limits{1000, 500, 8, 24};
   const config::platform_settings platform = settings();
-  const config::operator_settings rules;
+  const config::operator_settings operator_settings;
   bool lease_valid = true;
   bool recovered = true;
   sim_net net{1};
@@ -145,14 +145,14 @@
        .allowance = [](const zone_name&) { return duration::zero(); }}};
   const leader::term_context context{.runtime = runtime,
                                      .platform = platform,
-                                     .rules = rules,
-                                     .measured = measured,
+                                     .operator_settings = operator_settings,
+                                     .controller_metrics = measured,
                                      .token = token,
                                      .jobs = jobs,
                                      .dependencies = dependencies,
                                      .workers = workers,
                                      .machines = machines};
-  leader::zone_health zones{runtime, platform, rules, workers, machines};
+  leader::zone_health zones{runtime, platform, operator_settings, workers, machines};
   leader::decision_applier decisions{jobs, workers, machines, measured, token};
   leader::snapshot_builder snapshots{context, zones};
   scripted_executor executor{runtime};
--- a/tests/leader_term_test.cpp
+++ b/tests/leader_term_test.cpp
@@ -41,8 +41,8 @@
                                  .store = client,
                                  .executor = executor,
                                  .platform = platform,
-                                 .rules = rules,
-                                 .measured = measured},
+                                 .operator_settings = operator_settings,
+                                 .controller_metrics = measured},
         fencing_token(1), kvstore::condition{"gd/leader", {}}, types(), callbacks());
     term->start();
     net.run_for(seconds(1));
@@ -95,7 +95,7 @@
   sim_runtime runtime{net, "node-0"};
   kvstore::client client{runtime, "state:1", wide_limits, std::nullopt, {1, 1, 1}};
   config::platform_settings platform;
-  config::operator_settings rules;
+  config::operator_settings operator_settings;
   idle_executor executor{runtime};
   metrics measured;
   std::unique_ptr<leader::leader_term> term;
--- a/tests/leading_controller.hpp
+++ b/tests/leading_controller.hpp
@@ -25,8 +25,8 @@
                                  .store = store,
                                  .executor = executor,
                                  .platform = platform,
-                                 .rules = rules,
-                                 .measured = measured},
+                                 .operator_settings = operator_settings,
+                                 .controller_metrics = measured},
         token, kvstore::condition{"gd/leader", {}}, types(),
         leader::leader_term::callbacks{
             .deposed = [] {},
