--- a/src/leader/decision_applier.cpp
+++ b/src/leader/decision_applier.cpp
@@ -14,13 +14,13 @@
     : jobs_(jobs), workers_(workers), machines_(machines), metrics_(metrics), token_(token) {}
 
 void decision_applier::apply(const admission::decisions& decisions) {
-  expected_machines_ = decisions.awaited_machines;
+  awaited_machines_ = decisions.awaited_machines;
   start_tasks(decisions.starts);
   for (const auto& stop : decisions.stops) stop_tasks(stop);
   if (!decisions.scale_out.empty()) machines_.request_machines(decisions.scale_out);
 }
 
-/// Starts of one job follow each other.
+/// Relies on the starts of each job being adjacent in the list.
 void decision_applier::start_tasks(const std::vector<admission::start_decision>& starts) {
   for (auto first = starts.begin(); first != starts.end();) {
     const auto last = std::find_if(
@@ -31,16 +31,16 @@
   }
 }
 
-/// Of a gang, all or none.
+/// Starts each task that may still be started. Of a gang, either all tasks are started or none.
 void decision_applier::start_tasks_of_job(std::span<const admission::start_decision> starts) {
   job_store::job* job = jobs_.find(starts.front().job);
   if (job == nullptr) return;
-  std::vector<const admission::start_decision*> possible;
+  std::vector<const admission::start_decision*> startable;
   for (const auto& start : starts) {
-    if (may_start(*job, start)) possible.push_back(&start);
+    if (may_start(*job, start)) startable.push_back(&start);
   }
-  if (job->spec().gang && possible.size() < starts.size()) return;
-  for (const auto* start : possible) place(*job, *start);
+  if (job->spec().gang && startable.size() < starts.size()) return;
+  for (const auto* start : startable) place(*job, *start);
 }
 
 bool decision_applier::may_start(const job_store::job& job,
--- a/src/leader/decision_applier.hpp
+++ b/src/leader/decision_applier.hpp
@@ -11,20 +11,21 @@
 
 namespace gingerdrift::leader {
 
-/// Carries out what a scheduling cycle decided: starts, stops, scale-out.
+/// Applies the decisions of a scheduling cycle: task starts, task stops and scale-out requests.
 ///
-/// Jobs and machines may have changed since the snapshot that the decisions rest on, so each start
-/// is checked against the present. No attempt number is used twice, except by members of one gang.
+/// Jobs and machines may have changed since the snapshot on which the decisions are based, so each
+/// start is validated against the current state. No attempt number is used twice, except that the
+/// members of a gang share one.
 class decision_applier {
  public:
   decision_applier(job_store::job_table& jobs, workers::reconciler& workers,
                    cloud::machine_inventory& machines, metrics& metrics, fencing_token token);
 
-  /// Carries out a cycle's decisions; only with a valid lease.
+  /// Applies the decisions of one cycle. The caller must hold a valid leader lease.
   void apply(const admission::decisions& decisions);
-  /// Whether some waiting job counts on this machine, as of the last cycle.
-  bool is_expected(const machine_name& machine) const {
-    return expected_machines_.count(machine) != 0;
+  /// Reports whether some waiting job needs this machine, according to the last cycle.
+  bool is_awaited(const machine_name& machine) const {
+    return awaited_machines_.count(machine) != 0;
   }
 
  private:
@@ -39,7 +40,7 @@
   cloud::machine_inventory& machines_;
   metrics& metrics_;
   const fencing_token token_;
-  std::set<machine_name> expected_machines_;
+  std::set<machine_name> awaited_machines_;
 };
 
 }  // namespace gingerdrift::leader
--- a/src/leader/delegate_monitor.cpp
+++ b/src/leader/delegate_monitor.cpp
@@ -5,8 +5,9 @@
 namespace gingerdrift::leader {
 
 namespace {
-/// What can't be read counts as acting.
-bool says_inactive(const kvstore::json& record) {
+/// Reports whether the record says that its delegate is inactive. A record that can't be decoded
+/// counts as active.
+bool is_marked_inactive(const kvstore::json& record) {
   return record.is_object() && record.contains(workers::delegation_field::active) &&
          record[workers::delegation_field::active] == false;
 }
@@ -16,29 +17,29 @@
     : store_(store), workers_(workers) {}
 
 void delegate_monitor::poll() {
-  if (reading_) return;
-  reading_ = true;
+  if (list_in_flight_) return;
+  list_in_flight_ = true;
   store_.list(workers::delegate_prefix, "",
-              guard_.wrap([this](const kvstore::result& records) { records_read(records); }));
+              guard_.wrap([this](const kvstore::result& records) { handle_records(records); }));
 }
 
-void delegate_monitor::records_read(const kvstore::result& records) {
-  reading_ = false;
+void delegate_monitor::handle_records(const kvstore::result& records) {
+  list_in_flight_ = false;
   if (!records.ok() || records.more) return;
   std::map<std::string, store_revision> versions;
   active_zones_.clear();
   for (const auto& record : records.entries) {
     versions[record.key] = record.version;
-    if (!says_inactive(record.value))
+    if (!is_marked_inactive(record.value))
       active_zones_.insert(
           zone_name(kvstore::text_field(record.value, workers::delegation_field::zone)));
   }
   if (!active_zones_.empty()) {
     inactive_since_.reset();
-  } else if (!inactive_since_ || versions != versions_) {
+  } else if (!inactive_since_ || versions != record_versions_) {
     inactive_since_ = records.sent;
   }
-  versions_ = std::move(versions);
+  record_versions_ = std::move(versions);
   if (inactive_since_) workers_.expire_leases(*inactive_since_, records.sent);
 }
 
--- a/src/leader/heartbeat_intake.hpp
+++ b/src/leader/heartbeat_intake.hpp
@@ -16,62 +16,66 @@
 
 namespace gingerdrift::leader {
 
-/// Takes workers' heartbeats, and decides when each is answered: at once, once all records are
-/// read, or once what fills freed places is stored.
+/// Receives the workers' heartbeats and decides when each is answered.
+///
+/// A heartbeat is answered immediately, or after all records have been read, or after the tasks
+/// that fill freed capacity have been placed and stored.
 class heartbeat_intake {
  public:
-  /// Is called once with the text of the answer, or with nothing where the worker is to try another
+  /// Called once with the body of the answer, or with nothing if the worker should try another
   /// controller.
   using answer_fn = std::function<void(std::optional<std::string> commands)>;
-  /// What the intake asks of the term that it serves.
+  /// Queries that the intake makes to the term that owns it.
   struct callbacks {
-    /// Whether the leader's lease is surely held.
+    /// Reports whether the leader lease is certain to be held.
     std::function<bool()> lease_valid;
-    /// Whether all records have been read.
-    std::function<bool()> recovered;
+    /// Reports whether all records have been read.
+    std::function<bool()> is_recovered;
   };
-  /// `most_early`: how many heartbeats may wait for the records to be read.
+  /// `max_early_heartbeats`: how many heartbeats may wait until all records have been read.
   heartbeat_intake(const term_context& context, machine_drain& drain, const scheduling_loop& loop,
-                   std::size_t most_early, callbacks owner);
-  /// Sends all workers that still wait to another controller.
+                   std::size_t max_early_heartbeats, callbacks owner);
+  /// Redirects all workers that still wait for an answer to another controller.
   ~heartbeat_intake();
   heartbeat_intake(const heartbeat_intake&) = delete;
   heartbeat_intake& operator=(const heartbeat_intake&) = delete;
 
-  /// Takes a worker's heartbeat; `answer` may run at once, or later.
+  /// Handles a worker's heartbeat. `answer` is called before this function returns, or later.
   void receive(workers::worker_heartbeat heartbeat, answer_fn answer);
-  /// All records are read: takes the heartbeats that came before.
-  void receive_early();
-  /// Answers the heartbeats that were held back, as far as nothing is left to wait for.
-  void answer_held();
-  /// When workers were last heard; the start of the term if never.
+  /// Handles the heartbeats that arrived before all records were read. To be called once they are.
+  void process_early_heartbeats();
+  /// Answers the held heartbeats whose wait is over: their deadline has passed, or a later cycle
+  /// has finished and its placements are stored.
+  void answer_held_heartbeats();
+  /// Returns when the last heartbeat arrived, or the start of the term if none has.
   time_point last_heartbeat() const { return last_heartbeat_; }
-  /// Whether any worker was heard in this term.
-  bool any_heartbeat() const { return last_heartbeat_ != term_start_; }
+  /// Reports whether any heartbeat has arrived in this term.
+  bool has_received_heartbeat() const { return last_heartbeat_ != term_start_; }
 
-  /// Of the controller's connections, the part that early heartbeats may hold: users and other
-  /// calls need the rest.
-  static constexpr std::size_t early_share = 3;
+  /// Early heartbeats may occupy the controller's connections divided by this number. The remaining
+  /// connections are needed for users and for other calls.
+  static constexpr std::size_t early_connection_divisor = 3;
 
  private:
-  /// A heartbeat that came before all records were read.
+  /// A heartbeat that arrived before all records were read.
   struct early_heartbeat {
     workers::worker_heartbeat heartbeat;
     answer_fn answer;
     time_point deadline;
   };
-  /// A heartbeat that freed places: its answer waits for the cycle that fills them.
+  /// A heartbeat that freed capacity. Its answer waits for the cycle that fills this capacity.
   struct held_heartbeat {
     workers::worker_heartbeat heartbeat;
     answer_fn answer;
     time_point deadline;
-    std::uint64_t cycles_before = 0;  // begun when it came; it waits for a later one
+    /// How many cycles had started when the heartbeat arrived. It waits for a later one to finish.
+    std::uint64_t cycles_started_at_receipt = 0;
   };
-  void keep_early(workers::worker_heartbeat heartbeat, answer_fn answer);
-  void redirect_overdue();
+  void defer_until_recovery(workers::worker_heartbeat heartbeat, answer_fn answer);
+  void redirect_expired();
   void reconcile(workers::worker_heartbeat heartbeat, answer_fn answer);
-  void hold(workers::worker_heartbeat heartbeat, answer_fn answer);
-  bool attempts_stored(const machine_name& machine);
+  void hold_answer(workers::worker_heartbeat heartbeat, answer_fn answer);
+  bool all_attempts_stored(const machine_name& machine);
 
   net::runtime& runtime_;
   const job_store::job_table& jobs_;
@@ -80,12 +84,12 @@
   machine_drain& drain_;
   const scheduling_loop& loop_;
   const fencing_token token_;
-  const std::size_t most_early_;
+  const std::size_t max_early_heartbeats_;
   callbacks callbacks_;
   const time_point term_start_;
   time_point last_heartbeat_;
-  std::vector<held_heartbeat> held_;
-  std::vector<early_heartbeat> early_;
+  std::vector<held_heartbeat> held_heartbeats_;
+  std::vector<early_heartbeat> early_heartbeats_;
   callback_guard guard_;
 };
 
--- a/src/leader/leader_term.cpp
+++ b/src/leader/leader_term.cpp
@@ -11,30 +11,32 @@
 
 namespace {
 workers::reconciler_options reconciler_options(const config::platform_settings& platform,
-                                               const config::operator_settings& rules) {
-  // A probe that goes unanswered holds a socket for about two seconds.
-  constexpr std::size_t probe_share = 4;
-  constexpr std::size_t least_probes = 20;
+                                               const config::operator_settings& operator_settings) {
+  // An unanswered probe occupies a socket for about two seconds, so the probes may use only a part
+  // of the connections for outgoing calls.
+  constexpr std::size_t probe_connection_divisor = 4;
+  constexpr std::size_t min_probes_per_second = 20;
   const auto calls = config::connection_budget::of(platform.max_connections).calls;
   return {.heartbeat_interval = platform.report,
           .worker_lease = platform.worker_lease,
           .renewal_grace = renewal_grace(platform),
-          .quarantine_after_failed_jobs = rules.quarantine_after_failed_jobs,
-          .failing_job_backoff = rules.failing_job_backoff,
-          .probes_per_second = std::max(least_probes, calls / probe_share)};
+          .quarantine_after_failed_jobs = operator_settings.quarantine_after_failed_jobs,
+          .failing_job_backoff = operator_settings.failing_job_backoff,
+          .probes_per_second = std::max(min_probes_per_second, calls / probe_connection_divisor)};
 }
 
 cloud::options inventory_options(const config::platform_settings& platform,
-                                 const config::operator_settings& rules) {
-  /// Beyond a worker's lease: a machine that only just came up has it to send its first heartbeat.
-  constexpr auto silence_slack = seconds(10);
+                                 const config::operator_settings& operator_settings) {
+  /// Added to the duration of a worker lease as the time that a machine has, once it runs, to send
+  /// its first heartbeat.
+  constexpr auto first_heartbeat_margin = seconds(10);
   return {.cloud = platform.cloud,
           .rps = platform.cloud_rps,
           .list_lag = platform.list_lag,
-          .refusal_backoff = rules.refusal_backoff,
-          .boot_patience = rules.boot_patience,
-          .silence = platform.worker_lease + silence_slack,
-          .machines_max = rules.machines_max};
+          .refusal_backoff = operator_settings.refusal_backoff,
+          .boot_patience = operator_settings.boot_patience,
+          .silence = platform.worker_lease + first_heartbeat_margin,
+          .machines_max = operator_settings.machines_max};
 }
 
 workers::loss_evidence evidence_of(cloud::departure departure) {
@@ -85,7 +87,7 @@
       loop_(context_, environment.executor, snapshots_, decisions_, loop_callbacks()),
       tick_timer_(runtime_),
       heartbeats_(context_, drain_, loop_,
-                  platform_.max_connections / heartbeat_intake::early_share,
+                  platform_.max_connections / heartbeat_intake::early_connection_divisor,
                   heartbeat_callbacks()) {
   machines_.set_types(std::move(types));
 }
@@ -97,9 +99,9 @@
                 loop_.request_cycle();
               },
           .gone = [this](const job_id& id,
-                         const job_store::terminal_state& end) { job_finished(id, end); },
-          .committed = [this] { heartbeats_.answer_held(); },
-          // The term ends with that call, so it must not come from within.
+                         const job_store::terminal_state& end) { handle_job_finalized(id, end); },
+          .committed = [this] { heartbeats_.answer_held_heartbeats(); },
+          // The callback destroys this term, so it must not run within a member function.
           .deposed = [this] { runtime_.after(duration::zero(), callbacks_.deposed); },
           .may_write = [this] { return callbacks_.lease_valid(); }};
 }
@@ -119,11 +121,11 @@
               },
           .changed = [this] { loop_.request_cycle(); },
           .lease_valid = [this] { return callbacks_.lease_valid(); },
-          .allowance = [this](const zone_name& zone) { return zones_.allowance(zone); }};
+          .allowance = [this](const zone_name& zone) { return zones_.partition_grace(zone); }};
 }
 
 job_loader::callbacks leader_term::loader_callbacks() {
-  return {.recovered = [this] { recovered(); },
+  return {.recovered = [this] { finish_recovery(); },
           .jobs_changed = [this] { loop_.request_cycle(); },
           .cached_terminal_state =
               [this](const job_id& id) { return callbacks_.cached_terminal_state(id); }};
@@ -131,13 +133,13 @@
 
 scheduling_loop::callbacks leader_term::loop_callbacks() {
   return {.lease_valid = [this] { return callbacks_.lease_valid(); },
-          .recovered = [this] { return loader_.recovered(); },
-          .cycle_done = [this] { heartbeats_.answer_held(); }};
+          .is_recovered = [this] { return loader_.is_recovered(); },
+          .cycle_finished = [this] { heartbeats_.answer_held_heartbeats(); }};
 }
 
 heartbeat_intake::callbacks leader_term::heartbeat_callbacks() {
   return {.lease_valid = [this] { return callbacks_.lease_valid(); },
-          .recovered = [this] { return loader_.recovered(); }};
+          .is_recovered = [this] { return loader_.is_recovered(); }};
 }
 
 void leader_term::start() {
@@ -156,7 +158,7 @@
   return 0.0;
 }
 
-void leader_term::job_finished(const job_id& id, const job_store::terminal_state& end) {
+void leader_term::handle_job_finalized(const job_id& id, const job_store::terminal_state& end) {
   spdlog::info("job_finalized job={} state={} term={}", id, job_store::status_name(end.status()),
                token_);
   callbacks_.finished(id, end);
@@ -164,20 +166,20 @@
   loop_.request_cycle();
 }
 
-/// All records are read: from here on the leader acts.
-void leader_term::recovered() {
-  for (auto& [id, job] : jobs_.all()) adopt(job);
+/// Starts all activities of the leader once all records have been read.
+void leader_term::finish_recovery() {
+  for (auto& [id, job] : jobs_.all()) resume_job(job);
   dependencies_.start();
   workers_.ready();
   machines_.start();
   spdlog::info("term_ready term={} jobs={} waiting_for_dependencies={} after_ms={}", token_,
                jobs_.all().size(), dependencies_.waiting_jobs(),
                std::chrono::duration_cast<milliseconds>(runtime_.now() - term_start_).count());
-  heartbeats_.receive_early();
+  heartbeats_.process_early_heartbeats();
 }
 
-/// Goes on with a job where the leader before may have been cut short.
-void leader_term::adopt(job_store::job& job) {
+/// Completes the steps in a job's processing that the previous leader may not have finished.
+void leader_term::resume_job(job_store::job& job) {
   workers_.adopt(job);
   if (job.complete_if_all_tasks_done()) jobs_.mark_head(job);
   if (job.ready_to_finalize()) jobs_.finalize(job);
@@ -187,7 +189,8 @@
 std::optional<job_store::job_state> leader_term::state_of(const job_id& id) {
   const job_store::job* job = jobs_.find(id);
   if (job == nullptr) return std::nullopt;
-  // Nor is a job called pending while something that it needs may be cancelled.
+  // A job must not be reported as pending while one of its dependencies may turn out to be
+  // cancelled.
   if (!dependencies_.is_state_certain(*job)) return job_store::indeterminate{};
   return job_store::state_in_memory(*job, acknowledgement_of_cancellations(platform_));
 }
@@ -196,11 +199,12 @@
   job_store::job* job = jobs_.find(id);
   if (job == nullptr || !callbacks_.lease_valid()) return done(std::nullopt);
   if (job->active()) mark_cancelled(*job);
-  // Where a lease outlasts the time a cancellation has, its user is told once the tasks are gone,
-  // and asks again until then.
-  const bool acknowledged_late = acknowledgement_of_cancellations(platform_) ==
-                                 job_store::cancellation_acknowledgement::when_tasks_are_gone;
-  if (job->status() == job_store::job_status::cancelled && acknowledged_late)
+  // If a worker lease may last longer than a cancellation may take to become effective, the
+  // cancellation is acknowledged only once the tasks are gone. Until then the user has to retry.
+  const bool acknowledged_when_tasks_are_gone =
+      acknowledgement_of_cancellations(platform_) ==
+      job_store::cancellation_acknowledgement::when_tasks_are_gone;
+  if (job->status() == job_store::job_status::cancelled && acknowledged_when_tasks_are_gone)
     return done(std::nullopt);
   jobs_.when_terminal(*job, std::move(done));
 }
@@ -216,12 +220,12 @@
 }
 
 void leader_term::tick() {
-  tick_timer_.start(zone_health::update_period, [this] { tick(); });
+  tick_timer_.start(zone_health::update_interval, [this] { tick(); });
   if (!ready()) return;
   delegates_.poll();
   workers_.probe();
   workers_.forget_old_failures();
-  drain_.drain_noticed_machines();
+  drain_.drain_machines_with_notice();
   zones_.update(delegates_.active_zones());
   if (callbacks_.lease_valid()) scale_in_.release_machines();
   loop_.request_cycle();
--- a/src/leader/leader_term.hpp
+++ b/src/leader/leader_term.hpp
@@ -27,54 +27,57 @@
 
 namespace gingerdrift::leader {
 
-/// One term of leadership: the leader's state, rebuilt from the store, and the parts that work on
-/// it, wired together. Gone when the term ends. Lives on the socket thread.
+/// One term of leadership: owns the leader's state, which is rebuilt from the store, and connects
+/// the components that operate on it. Destroyed when the term ends. Used on the event loop's thread
+/// only.
 class leader_term : private dependencies::tracker_owner {
  public:
-  /// What a term asks of the controller that runs it, and tells it.
+  /// Notifications and queries that a term sends to the controller that owns it.
   struct callbacks {
-    /// The store holds another leader's key; called from the runtime, never from within a call.
+    /// Called when the store turns out to hold another leader's key. Called from the event loop,
+    /// never from within a member function of the term, because it destroys the term.
     std::function<void()> deposed;
-    /// Whether the leader's lease is surely held.
+    /// Reports whether the leader lease is certain to be held.
     std::function<bool()> lease_valid;
-    /// A job's final record is stored.
+    /// Called when the final record of a job has been stored.
     std::function<void(const job_id&, const job_store::terminal_state&)> finished;
-    /// A final state that this process has seen in the store.
+    /// Returns the terminal state of a job if this process has seen it in the store.
     std::function<std::optional<job_store::terminal_state>(const job_id&)> cached_terminal_state;
   };
-  /// `leader`: the condition on the leader key that goes with every write of this term.
+  /// `leader`: the condition on the leader key that is attached to every write of this term.
   leader_term(const term_environment& environment, fencing_token token,
               const kvstore::condition& leader, std::vector<admission::machine_type> types,
               callbacks owner);
   leader_term(const leader_term&) = delete;
   leader_term& operator=(const leader_term&) = delete;
 
-  /// Begins to read the records.
+  /// Starts to read the records from the store.
   void start();
-  /// Whether all records have been read.
-  bool ready() const { return loader_.recovered(); }
-  /// Takes a worker's heartbeat. Answers with nothing where the worker is to try another
-  /// controller.
+  /// Reports whether all records have been read.
+  bool ready() const { return loader_.is_recovered(); }
+  /// Handles a worker's heartbeat. The answer is empty if the worker should try another controller.
   void handle_heartbeat(workers::worker_heartbeat heartbeat, heartbeat_intake::answer_fn answer) {
     heartbeats_.receive(std::move(heartbeat), std::move(answer));
   }
-  /// What users may be told of a job in the table; only while the leader's lease is valid.
+  /// Returns the state of a job that may be reported to users, or nothing if the job is not in the
+  /// job table. Valid only while the leader lease is valid.
   std::optional<job_store::job_state> state_of(const job_id& id);
-  /// Cancels a job. Calls back with how it ended, or with nothing when that can't be said yet.
+  /// Cancels a job. `done` receives the job's terminal state, or nothing if the outcome can't be
+  /// confirmed yet.
   void cancel(const job_id& id, job_store::job_table::terminal_fn done);
-  /// A job may be new in the store: reads it.
+  /// Reads a job that may be new in the store.
   void fetch_job(const job_id& id) { loader_.fetch(id); }
-  /// The term's part of the status report.
+  /// Returns the term's section of the status report.
   nlohmann::json status() const;
-  /// When workers were last heard; the start of the term if never.
+  /// Returns when the last heartbeat arrived, or the start of the term if none has.
   time_point last_heartbeat() const { return heartbeats_.last_heartbeat(); }
-  /// Whether any worker was heard in this term.
-  bool has_received_heartbeats() const { return heartbeats_.any_heartbeat(); }
-  /// How many machines should send heartbeats; 0 until all records have been read.
+  /// Reports whether any heartbeat has arrived in this term.
+  bool has_received_heartbeats() const { return heartbeats_.has_received_heartbeat(); }
+  /// Returns how many machines are expected to send heartbeats; 0 until all records have been read.
   std::size_t known_machine_count() const;
 
  private:
-  // What the dependency tracker asks and tells.
+  // Implementation of dependencies::tracker_owner.
   void take_job(const kvstore::entry& head, time_point read_at) override {
     loader_.add_record(head, read_at);
   }
@@ -90,10 +93,10 @@
   scheduling_loop::callbacks loop_callbacks();
   heartbeat_intake::callbacks heartbeat_callbacks();
 
-  void job_finished(const job_id& id, const job_store::terminal_state& end);
+  void handle_job_finalized(const job_id& id, const job_store::terminal_state& end);
   double image_cache_gb(const std::string& type_name) const;
-  void recovered();
-  void adopt(job_store::job& job);
+  void finish_recovery();
+  void resume_job(job_store::job& job);
   void mark_cancelled(job_store::job& job);
   void tick();
 
@@ -102,12 +105,12 @@
   const fencing_token token_;
   callbacks callbacks_;
   const time_point term_start_;
-  // The leader's state:
+  // State of the leader.
   job_store::job_table jobs_;
   dependencies::tracker dependencies_;
   workers::reconciler workers_;
   cloud::machine_inventory machines_;
-  // What works on it. Later parts use earlier ones.
+  // Components that operate on the state. Each refers to members declared before it.
   const term_context context_;
   zone_health zones_;
   delegate_monitor delegates_;
@@ -118,7 +121,8 @@
   job_loader loader_;
   scheduling_loop loop_;
   net::timer tick_timer_;
-  heartbeat_intake heartbeats_;  // the first to go: it answers the workers that still wait
+  /// Declared last so that it is destroyed first: its destructor answers the waiting workers.
+  heartbeat_intake heartbeats_;
 };
 
 }  // namespace gingerdrift::leader
--- a/src/leader/lease_policy.hpp
+++ b/src/leader/lease_policy.hpp
@@ -5,15 +5,18 @@
 
 namespace gingerdrift::leader {
 
-/// How old a controller's knowledge of cancellations may be while it still renews workers' leases.
+/// Returns for how long a controller may renew worker leases without new information from the store
+/// about cancellations.
 ///
-/// A leader that lost the store counts this from the end of its own lease, a delegate from its
-/// reading of the job. Never negative; zero where a cancellation has less time than a lease lasts.
-/// See "Who renews a lease" in docs/design.md.
+/// For a leader that lost its connection to the store, this time starts at the end of its own
+/// lease; for a lease delegate, it starts when the delegate read the job. The result is never
+/// negative. It is zero if a cancellation must take effect sooner than a worker lease expires. See
+/// "Who renews a lease" in docs/design.md.
 duration renewal_grace(const config::platform_settings& platform);
 
-/// When users may be told that a job is cancelled: once that is stored, or, where a worker's lease
-/// outlasts the time that a cancellation has, only once the tasks are gone.
+/// Returns when a cancellation may be acknowledged to users: as soon as it is stored, or, if a
+/// worker lease may last longer than a cancellation may take to become effective, only once all
+/// tasks of the job are gone.
 job_store::cancellation_acknowledgement acknowledgement_of_cancellations(
     const config::platform_settings& platform);
 
--- a/src/leader/scale_in.hpp
+++ b/src/leader/scale_in.hpp
@@ -13,34 +13,35 @@
 
 namespace gingerdrift::leader {
 
-/// Returns machines to the cloud that are lost, quarantined or idle.
+/// Returns machines to the cloud that have timed out, are unreachable, quarantined or idle.
 class scale_in {
  public:
   scale_in(const term_context& context, const zone_health& zones,
            const decision_applier& decisions);
 
-  /// One round over all machines; only with a valid lease.
+  /// Checks all machines once and releases those that are no longer needed. The caller must hold a
+  /// valid leader lease.
   void release_machines();
 
  private:
-  /// A machine without work, ordered by how long it has none.
+  /// A machine without tasks. The machine that has been idle the longest sorts first.
   struct idle_machine {
     time_point idle_since;
     machine_name name;
     friend auto operator<=>(const idle_machine&, const idle_machine&) = default;
   };
   std::optional<cloud::release_reason> release_reason_of(const workers::worker& worker) const;
-  bool never_heard_from(const workers::worker& worker) const;
-  bool is_lost(const workers::worker& worker) const;
+  bool never_reported(const workers::worker& worker) const;
+  bool has_timed_out(const workers::worker& worker) const;
   bool is_unreachable(const workers::worker& worker) const;
-  bool surely_unoccupied(const workers::worker& worker) const;
+  bool is_unoccupied(const workers::worker& worker) const;
   bool is_idle(const workers::worker& worker) const;
   void release_idle(const admission::pool& pool, std::vector<idle_machine> idle);
-  bool paid_long_enough(const machine_name& name) const;
+  bool has_reached_min_rental_time(const machine_name& name) const;
 
   net::runtime& runtime_;
   const config::platform_settings& platform_;
-  const config::operator_settings& rules_;
+  const config::operator_settings& operator_settings_;
   workers::reconciler& workers_;
   cloud::machine_inventory& machines_;
   const zone_health& zones_;
--- a/src/leader/scheduling_executor.hpp
+++ b/src/leader/scheduling_executor.hpp
@@ -10,19 +10,20 @@
 
 namespace gingerdrift::leader {
 
-/// Takes a cycle's decisions, and how long it took to compute them.
-using decisions_fn = std::function<void(admission::decisions, duration took)>;
+/// Receives the decisions of a cycle and the time that it took to compute them.
+using decisions_fn = std::function<void(admission::decisions, duration computing_time)>;
 
-/// Computes scheduling cycles. A new term starts with a new scheduler.
+/// Computes scheduling cycles. Each term of leadership starts with a new scheduler.
 class scheduling_executor {
  public:
   virtual ~scheduling_executor() = default;
-  /// Schedules one snapshot and calls back once, later, on the socket thread. The caller waits for
-  /// that before it plans again; after a failover the new term need not.
+  /// Computes one cycle and calls `done` once, asynchronously, on the event loop's thread. A term
+  /// must wait for this call before it requests its next cycle. A new term need not wait for the
+  /// cycle of an earlier one.
   virtual void run_cycle(fencing_token term, admission::snapshot snapshot, decisions_fn done) = 0;
 };
 
-/// What all executors share: one scheduler per term.
+/// Runs scheduling cycles with one scheduler per term. Used by all executors.
 class cycle_runner {
  public:
   explicit cycle_runner(const admission::policy& policy) : policy_(policy) {}
@@ -38,21 +39,22 @@
   std::optional<admission::scheduler> scheduler_;
 };
 
-/// Computes cycles on a thread of its own. Its mailbox holds one snapshot, a newer one replaces it;
-/// its lock is never held during a cycle.
+/// Computes scheduling cycles on a dedicated thread. At most one request is pending; a newer
+/// request replaces it. The mutex is not held while a cycle is computed.
 class threaded_scheduling_executor final : public scheduling_executor {
  public:
-  /// Runs an action on the socket thread.
+  /// Runs an action on the event loop's thread.
   using post_fn = std::function<void(std::function<void()>)>;
   threaded_scheduling_executor(const admission::policy& policy, post_fn post);
-  /// Waits for the cycle under way; its decisions are still posted.
+  /// Waits for the cycle in progress, whose decisions are still posted. A pending request is
+  /// dropped.
   ~threaded_scheduling_executor() override;
   threaded_scheduling_executor(const threaded_scheduling_executor&) = delete;
   threaded_scheduling_executor& operator=(const threaded_scheduling_executor&) = delete;
   void run_cycle(fencing_token term, admission::snapshot snapshot, decisions_fn done) override;
 
  private:
-  /// A cycle to compute.
+  /// A scheduling cycle to compute.
   struct request {
     fencing_token term;
     admission::snapshot snapshot;
@@ -62,12 +64,13 @@
   std::optional<request> wait_for_request();
   void compute(request next);
 
-  cycle_runner runner_;  // the scheduling thread's alone
+  cycle_runner runner_;  // used by the scheduling thread only
   post_fn post_;
-  std::mutex lock_;  // guards next_ and ending_; no other lock is taken under it
-  std::condition_variable wake_;
-  std::optional<request> next_;
-  bool ending_ = false;
+  /// Guards pending_request_ and stopping_. No other mutex is locked while it is held.
+  std::mutex mutex_;
+  std::condition_variable wake_up_;
+  std::optional<request> pending_request_;
+  bool stopping_ = false;
   std::thread thread_;
 };
 
--- a/src/leader/scheduling_loop.cpp
+++ b/src/leader/scheduling_loop.cpp
@@ -5,20 +5,25 @@
 namespace gingerdrift::leader {
 
 namespace {
-/// Cycles are spaced by so many times what the last one took, and no longer than the longest pause.
-/// A fleet of several thousand machines needs the processor for its heartbeats first: from
-/// `large_fleet` machines on, both grow with it.
-constexpr double pause_per_cycle_time = 3;
-constexpr duration longest_pause = seconds(1);
-constexpr double large_fleet = 2000;
-/// Lets changes that come together be seen by one cycle.
+/// The interval between the starts of two cycles, as a multiple of the duration of the last cycle.
+constexpr double interval_per_cycle_time = 3;
+/// Upper limit of this interval.
+constexpr duration max_cycle_interval = seconds(1);
+/// For fleets larger than this, the multiple and the upper limit grow in proportion to the fleet:
+/// the heartbeats of several thousand machines need the processor first.
+constexpr double large_fleet_machines = 2000;
+/// Delay between a change and the cycle that it requests, so that changes which occur together are
+/// handled by one cycle.
 constexpr duration batching_delay = milliseconds(10);
 
-duration pause_between_cycles(duration cycle_time, duration shortest, std::size_t machines) {
-  const double growth = std::max(1.0, static_cast<double>(machines) / large_fleet);
-  const duration longest = from_seconds(to_seconds(longest_pause) * growth);
-  const duration spaced = from_seconds(to_seconds(cycle_time) * pause_per_cycle_time * growth);
-  return std::clamp(spaced, shortest, std::max(shortest, longest));
+/// Returns the interval between the starts of two cycles. `shortest`: its lower limit, which takes
+/// precedence over the upper one.
+duration cycle_interval(duration cycle_time, duration shortest, std::size_t machines) {
+  const double fleet_factor = std::max(1.0, static_cast<double>(machines) / large_fleet_machines);
+  const duration longest = from_seconds(to_seconds(max_cycle_interval) * fleet_factor);
+  const duration proportional =
+      from_seconds(to_seconds(cycle_time) * interval_per_cycle_time * fleet_factor);
+  return std::clamp(proportional, shortest, std::max(shortest, longest));
 }
 }  // namespace
 
@@ -32,30 +37,31 @@
       machines_(context.machines),
       metrics_(context.controller_metrics),
       token_(context.token),
-      shortest_pause_(context.operator_settings.pass_interval),
+      min_cycle_interval_(context.operator_settings.pass_interval),
       callbacks_(std::move(owner)),
       timer_(runtime_) {}
 
 void scheduling_loop::request_cycle() {
   changed_since_snapshot_ = true;
-  if (!callbacks_.recovered() || cycle_running_ || timer_.armed()) return;
+  if (!callbacks_.is_recovered() || cycle_running_ || timer_.armed()) return;
   const time_point now = runtime_.now();
-  const duration pause =
-      pause_between_cycles(last_duration_, shortest_pause_, machines_.all().size());
-  const time_point next = std::max(now + batching_delay, last_begin_ + pause);
+  const duration interval =
+      cycle_interval(last_cycle_duration_, min_cycle_interval_, machines_.all().size());
+  const time_point next = std::max(now + batching_delay, last_cycle_start_ + interval);
   timer_.start(next - now, [this] { run_cycle(); });
 }
 
 void scheduling_loop::run_cycle() {
   if (!callbacks_.lease_valid() || machines_.types().empty()) return;
   cycle_running_ = true;
-  ++cycles_begun_;
+  ++cycles_started_;
   changed_since_snapshot_ = false;
-  last_begin_ = runtime_.now();
-  executor_.run_cycle(token_, take_snapshot(),
-                      guard_.wrap([this](const admission::decisions& decisions, duration took) {
-                        finish_cycle(decisions, took);
-                      }));
+  last_cycle_start_ = runtime_.now();
+  executor_.run_cycle(
+      token_, take_snapshot(),
+      guard_.wrap([this](const admission::decisions& decisions, duration computing_time) {
+        finish_cycle(decisions, computing_time);
+      }));
 }
 
 admission::snapshot scheduling_loop::take_snapshot() {
@@ -65,14 +71,14 @@
 
 void scheduling_loop::finish_cycle(const admission::decisions& decisions, duration computing_time) {
   cycle_running_ = false;
-  ++cycles_done_;
+  ++cycles_finished_;
   metrics_.scheduling_cycles.add(computing_time);
   if (callbacks_.lease_valid()) {
     const stopwatch watch(metrics_.decision_time);
     decisions_.apply(decisions);
   }
-  last_duration_ = runtime_.now() - last_begin_;
-  callbacks_.cycle_done();
+  last_cycle_duration_ = runtime_.now() - last_cycle_start_;
+  callbacks_.cycle_finished();
   if (changed_since_snapshot_) request_cycle();
 }
 
--- a/src/leader/scheduling_loop.hpp
+++ b/src/leader/scheduling_loop.hpp
@@ -14,31 +14,34 @@
 
 namespace gingerdrift::leader {
 
-/// Runs scheduling cycles, one at a time: takes a snapshot, has it scheduled, applies the
-/// decisions.
+/// Runs scheduling cycles, one at a time: takes a snapshot, has the executor compute the decisions,
+/// and applies them.
 ///
-/// A cycle begins soon after something has changed. A cycle over a large fleet may take long on a
-/// small share of a core, while heartbeats and users wait: so cycles get a part of the time only.
+/// A cycle starts shortly after a change. For a large fleet, a cycle may take long if the
+/// controller has only a small share of a CPU core, and heartbeats and user requests are delayed
+/// meanwhile. The start times of cycles are therefore spaced in proportion to the duration of the
+/// last one, which limits the share of time that cycles take.
 class scheduling_loop {
  public:
-  /// What the loop asks of the term that it serves, and tells it.
+  /// Notifications and queries that the loop sends to the term that owns it.
   struct callbacks {
-    /// Whether the leader's lease is surely held; nothing is started without.
+    /// Reports whether the leader lease is certain to be held. Otherwise no cycle starts and no
+    /// decisions are applied.
     std::function<bool()> lease_valid;
-    /// Whether all records have been read; no cycle begins before.
-    std::function<bool()> recovered;
-    /// A cycle has ended, and its decisions are applied.
-    std::function<void()> cycle_done;
+    /// Reports whether all records have been read. No cycle starts before.
+    std::function<bool()> is_recovered;
+    /// Called when a cycle has finished and its decisions have been applied or dropped.
+    std::function<void()> cycle_finished;
   };
   scheduling_loop(const term_context& context, scheduling_executor& executor,
                   snapshot_builder& snapshots, decision_applier& decisions, callbacks owner);
 
-  /// Something has changed that a cycle should see.
+  /// Requests a cycle because something has changed that affects scheduling.
   void request_cycle();
-  /// How many cycles have begun in this term.
-  std::uint64_t cycles_begun() const { return cycles_begun_; }
-  /// How many of them have ended, their decisions applied or dropped.
-  std::uint64_t cycles_done() const { return cycles_done_; }
+  /// Returns how many cycles have started in this term.
+  std::uint64_t cycles_started() const { return cycles_started_; }
+  /// Returns how many cycles have finished in this term, with their decisions applied or dropped.
+  std::uint64_t cycles_finished() const { return cycles_finished_; }
 
  private:
   void run_cycle();
@@ -52,14 +55,14 @@
   const cloud::machine_inventory& machines_;
   metrics& metrics_;
   const fencing_token token_;
-  const duration shortest_pause_;  // between the beginnings of two cycles
+  const duration min_cycle_interval_;  // between the starts of two cycles
   callbacks callbacks_;
-  std::uint64_t cycles_begun_ = 0;
-  std::uint64_t cycles_done_ = 0;
+  std::uint64_t cycles_started_ = 0;
+  std::uint64_t cycles_finished_ = 0;
   bool cycle_running_ = false;
   bool changed_since_snapshot_ = false;
-  time_point last_begin_{};
-  duration last_duration_{};  // from snapshot to decisions applied
+  time_point last_cycle_start_{};
+  duration last_cycle_duration_{};  // from the snapshot until the decisions were applied
   net::timer timer_;
   callback_guard guard_;
 };
--- a/src/leader/scheduling_policy.hpp
+++ b/src/leader/scheduling_policy.hpp
@@ -5,7 +5,7 @@
 
 namespace gingerdrift::leader {
 
-/// The scheduler's policy as the operators set it.
-admission::policy scheduling_policy(const config::operator_settings& rules);
+/// Returns the scheduler's policy that results from the operators' settings.
+admission::policy scheduling_policy(const config::operator_settings& operator_settings);
 
 }  // namespace gingerdrift::leader
--- a/src/leader/snapshot_builder.cpp
+++ b/src/leader/snapshot_builder.cpp
@@ -5,8 +5,8 @@
 namespace gingerdrift::leader {
 
 namespace {
-/// Of a job's waiting tasks, a cycle sees as many as there are machines, and so many at least.
-constexpr std::size_t least_waiting_in_view = 256;
+/// A job view lists as many waiting tasks as there are machines, but at least this many.
+constexpr std::size_t min_waiting_tasks_in_view = 256;
 }  // namespace
 
 snapshot_builder::snapshot_builder(const term_context& context, const zone_health& zones)
@@ -38,7 +38,7 @@
 void snapshot_builder::add_jobs(admission::snapshot& snapshot) {
   snapshot.jobs.reserve(jobs_.all().size());
   for (auto& [id, job] : jobs_.all()) {
-    // What waits for other jobs holds nothing: neither variants nor quota nor room.
+    // A job that waits for its dependencies must not occupy variants, quota or capacity.
     if (!job.waiting()) snapshot.jobs.push_back(view_of(job));
   }
 }
@@ -56,8 +56,9 @@
                                              admission::snapshot& snapshot) {
   for (const auto& machine : machines_.starting()) {
     const auto type = types.find(machine.pool.type);
-    // Nobody should wait for a machine that can't report, nor have more of them rented.
-    if (type == types.end() || zones_.cut_off(machine.pool.zone)) continue;
+    // Machines in a partitioned zone can't report, so jobs must not wait for them. No more of them
+    // are rented either: add_refused_pools() covers their pools.
+    if (type == types.end() || zones_.is_partitioned(machine.pool.zone)) continue;
     const auto* worker = workers_.find(machine.name);
     if (worker != nullptr && (worker->heard_in_term || !worker->attempts.empty())) continue;
     auto view = std::make_shared<admission::machine_view>();
@@ -69,12 +70,13 @@
   }
 }
 
-/// Pools that the cloud refused lately, and those of zones that are cut off.
+/// Adds the pools for which the cloud recently refused a request, and all pools of partitioned
+/// zones.
 void snapshot_builder::add_refused_pools(admission::snapshot& snapshot) const {
   snapshot.refused = machines_.refused();
   for (const auto& type : snapshot.types) {
     for (const auto& zone : type.zones) {
-      if (!zones_.cut_off(zone)) continue;
+      if (!zones_.is_partitioned(zone)) continue;
       for (const bool spot : {false, true}) snapshot.refused.insert({type.name, zone, spot});
     }
   }
@@ -83,11 +85,12 @@
 std::shared_ptr<const admission::job_view> snapshot_builder::view_of(job_store::job& job) const {
   if (job.view()) return job.view();
   auto view = std::make_shared<admission::job_view>();
-  copy_request(job, *view);
+  copy_spec(job, *view);
   const attempt_summary attempts = add_attempts(job, *view);
   if (job.status() == job_store::job_status::active) {
     add_waiting_tasks(job, *view);
-    // A gang restarts once its old attempt is gone; before it has started, it takes replacements.
+    // A gang is restarted only after all tasks of its old attempt are gone. Before it has started,
+    // individual members can be replaced.
     const bool takes_replacements = !job.gang_started() && attempts.all_still_starting;
     if (job.spec().gang && !job.attempts().empty() && !view->waiting.empty() && !takes_replacements)
       view->held_back = true;
@@ -97,7 +100,7 @@
   return view;
 }
 
-void snapshot_builder::copy_request(const job_store::job& job, admission::job_view& view) const {
+void snapshot_builder::copy_spec(const job_store::job& job, admission::job_view& view) const {
   const auto& spec = job.spec();
   view.id = spec.id;
   view.team = team_index_.at(spec.team);
@@ -131,7 +134,8 @@
     placed.task = task;
     placed.machine = attempt.machine;
     placed.pool = pool_of(attempt.machine);
-    // A machine nobody knows a zone of: nothing may be started beside its tasks.
+    // The zone of the machine is unknown. If the job has a rule about zones, no further tasks may
+    // be started until the zone is known.
     if (placed.pool.zone.empty()) {
       summary.all_pools_known = false;
       if (job.spec().one_zone || job.spec().spread) view.held_back = true;
@@ -145,7 +149,8 @@
   return summary;
 }
 
-/// As its worker says, or else as the cloud lists it; without a zone if neither knows it.
+/// Returns the machine's pool as reported by its worker, or else as listed by the cloud. The zone
+/// of the result is empty if neither is available.
 admission::pool snapshot_builder::pool_of(const machine_name& name) const {
   admission::pool pool;
   const auto worker = workers_.all().find(name);
@@ -158,9 +163,9 @@
 
 void snapshot_builder::add_waiting_tasks(const job_store::job& job,
                                          admission::job_view& view) const {
-  const std::size_t most = most_waiting_tasks(job);
+  const std::size_t limit = max_waiting_tasks(job);
   const auto& done = job.done().ranges();
-  for (std::uint32_t task = 0; task < job.spec().tasks && view.waiting.size() < most; ++task) {
+  for (std::uint32_t task = 0; task < job.spec().tasks && view.waiting.size() < limit; ++task) {
     const auto next_range = done.upper_bound(task);
     if (next_range != done.begin() && task <= std::prev(next_range)->second) {
       task = std::prev(next_range)->second;
@@ -170,12 +175,15 @@
   }
 }
 
-/// A job that failed everywhere is tried with one task: hundreds that all fail hold room and
-/// images, time after time, that others wait for. Its first success sets it free.
-std::size_t snapshot_builder::most_waiting_tasks(const job_store::job& job) const {
+/// Returns how many waiting tasks of the job a cycle may see.
+///
+/// A job whose tasks failed on several different machines is retried with one task at a time.
+/// Otherwise, hundreds of failing tasks would repeatedly occupy capacity and image caches that
+/// other jobs need. The restriction ends with the job's first successful task.
+std::size_t snapshot_builder::max_waiting_tasks(const job_store::job& job) const {
   const bool failing = job.error_rounds() > 0 && !job.spec().gang;
   if (failing) return job.attempts().empty() ? 1 : 0;
-  return std::max(least_waiting_in_view, workers_.all().size());
+  return std::max(min_waiting_tasks_in_view, workers_.all().size());
 }
 
 std::shared_ptr<const admission::machine_view> snapshot_builder::view_of(
--- a/src/leader/snapshot_builder.hpp
+++ b/src/leader/snapshot_builder.hpp
@@ -14,30 +14,34 @@
 
 namespace gingerdrift::leader {
 
-/// Builds the snapshot that a scheduling cycle works on: jobs, machines, and machines on their way.
+/// Builds the input of a scheduling cycle: a snapshot of the jobs, the machines that report, and
+/// the machines that are starting.
 ///
-/// The views of jobs and machines are cached in these, and written anew only when something that
-/// they show has changed: a snapshot of a large fleet is then a list of pointers.
+/// Each job and each machine caches its view, which is rebuilt only after something that it shows
+/// has changed. The snapshot of a large fleet is therefore mostly a list of pointers.
 class snapshot_builder {
  public:
   snapshot_builder(const term_context& context, const zone_health& zones);
 
-  /// The snapshot as of now. It keeps its views alive, whatever changes later.
+  /// Returns a snapshot of the current state. The snapshot shares ownership of its views, so they
+  /// remain valid and unchanged when the state changes later.
   admission::snapshot build();
 
  private:
   using types_by_name = std::map<std::string, const admission::machine_type*>;
-  /// What the attempts of a job say of it as a whole.
+  /// Properties of all attempts of a job taken together.
   struct attempt_summary {
+    /// Whether the pool of each attempt's machine is known.
     bool all_pools_known = true;
-    /// Each is listed by its worker, and none runs or stops yet: the gang may take replacements.
+    /// Whether each attempt is listed by its worker and none is running or stopping. Members of a
+    /// gang can be replaced in this state.
     bool all_still_starting = true;
   };
   std::shared_ptr<const admission::job_view> view_of(job_store::job& job) const;
-  void copy_request(const job_store::job& job, admission::job_view& view) const;
+  void copy_spec(const job_store::job& job, admission::job_view& view) const;
   attempt_summary add_attempts(const job_store::job& job, admission::job_view& view) const;
   void add_waiting_tasks(const job_store::job& job, admission::job_view& view) const;
-  std::size_t most_waiting_tasks(const job_store::job& job) const;
+  std::size_t max_waiting_tasks(const job_store::job& job) const;
   admission::pool pool_of(const machine_name& name) const;
   std::shared_ptr<const admission::machine_view> view_of(workers::worker& worker,
                                                          const admission::machine_type& type) const;
--- a/src/leader/term_context.hpp
+++ b/src/leader/term_context.hpp
@@ -10,7 +10,8 @@
 
 namespace gingerdrift::leader {
 
-/// What the controller lends to a term of leadership; all of it outlives the term.
+/// The services and settings that the controller provides to a term of leadership. All of them
+/// outlive the term.
 struct term_environment {
   net::runtime& runtime;
   kvstore::client& store;
@@ -20,8 +21,8 @@
   metrics& controller_metrics;
 };
 
-/// What the parts of a term share: the leader's state, the settings and the runtime. All of it
-/// outlives the parts.
+/// The state, settings and services that the components of a term share. All of them outlive the
+/// components.
 struct term_context {
   net::runtime& runtime;
   const config::platform_settings& platform;
--- a/src/leader/zone_health.hpp
+++ b/src/leader/zone_health.hpp
@@ -9,48 +9,62 @@
 
 namespace gingerdrift::leader {
 
-/// Judges zones by how many of their machines are silent, overdue or unreachable at once.
+/// Assesses each zone by how many of its machines are unresponsive, overdue or unreachable at the
+/// same time.
 ///
-/// Machines die one by one. When much of a zone falls silent at once, the zone is cut off, or its
-/// workers can't find the leader: they will be back, with their images. So machines of such a zone
-/// are kept longer, and none is rented there.
+/// Machines usually fail independently of each other. If a large part of a zone becomes
+/// unresponsive at once, the zone is partitioned from the leader or its workers can't find the
+/// leader. These machines are expected to return with their cached images, so they are kept longer
+/// than other unresponsive machines, and no machines are rented in such a zone.
+///
+/// A condition affects a large part of a zone if it affects at least half of its machines, and at
+/// least three. "Mostly" in the names of this class has this meaning.
 class zone_health {
  public:
-  /// How often update() is to be called; a finding holds for two periods.
-  static constexpr duration update_period = seconds(1);
-  /// For how much longer the silent machines of a zone that is cut off are kept: back with the
-  /// zone, they need neither boot nor image.
-  static constexpr duration cut_off_allowance = seconds(120);
+  /// The interval at which update() must be called. Its results remain valid for two intervals.
+  static constexpr duration update_interval = seconds(1);
+  /// How much longer the unresponsive machines of a partitioned zone are kept. When the partition
+  /// ends, these machines are usable without another boot or image download.
+  static constexpr duration partition_grace_period = seconds(120);
 
   zone_health(net::runtime& runtime, const config::platform_settings& platform,
-              const config::operator_settings& rules, workers::reconciler& workers,
+              const config::operator_settings& operator_settings, workers::reconciler& workers,
               const cloud::machine_inventory& machines);
 
-  /// Counts anew. A zone where a delegate acts counts as cut off: its workers hear the delegate and
-  /// not this leader.
+  /// Reassesses all zones. A zone with an active lease delegate counts as partitioned, because its
+  /// workers exchange heartbeats with the delegate instead of this leader.
   void update(const std::set<zone_name>& delegate_zones);
-  /// Whether much of the zone was silent lately.
-  bool cut_off(const zone_name& zone) const;
-  /// Whether much of the zone is overdue at once: the link may be at fault, or this very
-  /// controller. A leader that its workers could not reach once returned 73 spot machines with 525
-  /// tasks, those whose heartbeats had come first, in the second before half of the zone counted as
-  /// silent and it stepped down.
-  bool in_doubt(const zone_name& zone) const;
-  /// Whether many machines of the zone receive no answers: that is this leader's fault as much as
-  /// theirs.
-  bool unreachable(const zone_name& zone) const { return unreachable_zones_.count(zone) != 0; }
-  /// For how much longer a zone's silent machines are kept. A cut that has ended still counts for a
-  /// worker's lease, while its workers find the leader again one after the other: when the first
-  /// half was back, the other half, 235 machines with 900 tasks, was once returned at that moment.
-  duration allowance(const zone_name& zone) const;
-  /// After how long without a heartbeat an ordinary machine is given up.
-  duration silence_limit() const;
+  /// Reports whether a large part of the zone was recently unresponsive, that is, without a
+  /// heartbeat for half of heartbeat_timeout(), or whether the zone recently had an active
+  /// delegate.
+  bool is_partitioned(const zone_name& zone) const;
+  /// Reports whether the heartbeats of a large part of the zone were recently overdue at once.
+  ///
+  /// The cause may then be the network or this controller rather than the machines. Without this
+  /// check, a leader that its workers could not reach once returned 73 spot machines with 525
+  /// tasks: their last heartbeats had arrived before those of the other machines, so they timed out
+  /// in the second before half of the zone counted as unresponsive and the leader stepped down.
+  bool is_mostly_overdue(const zone_name& zone) const;
+  /// Reports whether a large part of the zone's machines does not receive this leader's answers.
+  /// The cause may then be this leader as well as the machines.
+  bool is_mostly_unreachable(const zone_name& zone) const {
+    return mostly_unreachable_zones_.count(zone) != 0;
+  }
+  /// Returns how much longer than usual the zone's unresponsive machines are kept, or zero.
+  ///
+  /// After a partition has ended, the additional time applies for the duration of one more worker
+  /// lease, because the workers reconnect to the leader one after the other. Without this delay,
+  /// the second half of a zone, 235 machines with 900 tasks, was once returned at the moment when
+  /// the first half had reconnected.
+  duration partition_grace(const zone_name& zone) const;
+  /// Returns after how long without a heartbeat an on-demand machine is considered lost.
+  duration heartbeat_timeout() const;
 
  private:
-  /// Machines of a zone that are up, and how many of them are in trouble.
+  /// The number of a zone's machines that are up, and how many of these show each problem.
   struct machine_count {
     std::size_t total = 0;
-    std::size_t silent = 0;
+    std::size_t unresponsive = 0;
     std::size_t overdue = 0;
     std::size_t unreachable = 0;
   };
@@ -58,13 +72,13 @@
 
   net::runtime& runtime_;
   const config::platform_settings& platform_;
-  const config::operator_settings& rules_;
+  const config::operator_settings& operator_settings_;
   workers::reconciler& workers_;
   const cloud::machine_inventory& machines_;
   const time_point term_start_;
-  std::set<zone_name> unreachable_zones_;
-  std::map<zone_name, time_point> last_cut_off_;  // when a zone was last found cut off
-  std::map<zone_name, time_point> last_overdue_;  // when much of it was last found overdue
+  std::set<zone_name> mostly_unreachable_zones_;
+  std::map<zone_name, time_point> last_partitioned_;     // when each zone was last partitioned
+  std::map<zone_name, time_point> last_mostly_overdue_;  // when each zone was last mostly overdue
 };
 
 }  // namespace gingerdrift::leader
--- a/tests/decision_applier_test.cpp
+++ b/tests/decision_applier_test.cpp
@@ -20,7 +20,7 @@
 }  // namespace
 
 TEST_F(decision_applier_test, places_tasks_with_rising_attempt_numbers) {
-  hear("m-1");
+  send_heartbeat("m-1");
   auto& job = add_job("run-1", 2);
   start({{"run-1", 0, "m-1"}, {"run-1", 1, "m-1"}});
   ASSERT_EQ(job.attempts().size(), 2U);
@@ -30,7 +30,7 @@
 }
 
 TEST_F(decision_applier_test, members_of_a_gang_share_their_attempt_number) {
-  hear("m-1");
+  send_heartbeat("m-1");
   auto& job = add_job("run-1", 2, true);
   start({{"run-1", 0, "m-1"}, {"run-1", 1, "m-1"}});
   ASSERT_EQ(job.attempts().size(), 2U);
@@ -38,7 +38,7 @@
 }
 
 TEST_F(decision_applier_test, a_gang_starts_whole_or_not_at_all) {
-  hear("m-1");
+  send_heartbeat("m-1");
   auto& gang = add_job("run-1", 2, true);
   auto& array = add_job("run-2", 2);
   start({{"run-1", 0, "m-1"}, {"run-1", 1, "gone"}, {"run-2", 0, "m-1"}, {"run-2", 1, "gone"}});
@@ -47,7 +47,7 @@
 }
 
 TEST_F(decision_applier_test, starts_nothing_that_is_done_placed_or_cancelled) {
-  hear("m-1");
+  send_heartbeat("m-1");
   auto& job = add_job("run-1", 3);
   job.finish_task(0);
   start({{"run-1", 1, "m-1"}});
@@ -60,7 +60,7 @@
 }
 
 TEST_F(decision_applier_test, starts_nothing_on_a_machine_that_goes_back) {
-  hear("m-1");
+  send_heartbeat("m-1");
   auto& job = add_job("run-1", 1);
   machines.release("m-1", cloud::release_reason::idle);
   start({{"run-1", 0, "m-1"}});
@@ -68,7 +68,7 @@
 }
 
 TEST_F(decision_applier_test, stops_the_tasks_named_or_a_whole_gang) {
-  hear("m-1");
+  send_heartbeat("m-1");
   auto& array = add_job("run-1", 2);
   auto& gang = add_job("run-2", 2, true);
   start({{"run-1", 0, "m-1"}, {"run-1", 1, "m-1"}, {"run-2", 0, "m-1"}, {"run-2", 1, "m-1"}});
@@ -86,8 +86,8 @@
   admission::decisions made;
   made.awaited_machines = {"m-1"};
   decisions.apply(made);
-  EXPECT_TRUE(decisions.is_expected("m-1"));
-  EXPECT_FALSE(decisions.is_expected("m-2"));
+  EXPECT_TRUE(decisions.is_awaited("m-1"));
+  EXPECT_FALSE(decisions.is_awaited("m-2"));
 }
 
 }  // namespace gingerdrift::testing
--- a/tests/heartbeat_intake_test.cpp
+++ b/tests/heartbeat_intake_test.cpp
@@ -9,10 +9,10 @@
 class heartbeat_intake_test : public leader_parts {
  protected:
   heartbeat_intake_test() {
-    on_cycle_done = [this] { intake->answer_held(); };
+    on_cycle_finished = [this] { intake->answer_held_heartbeats(); };
   }
   /// A heartbeat that lists a task of a job nobody knows.
-  workers::worker_heartbeat with_live_task(const machine_name& machine) {
+  workers::worker_heartbeat heartbeat_with_running_task(const machine_name& machine) {
     auto out = heartbeat(machine);
     out.tasks = {{"run-9", 0, attempt_number(1), job_store::attempt_phase::running,
                   workers::exit_cause::none}};
@@ -20,7 +20,7 @@
   }
   /// A heartbeat after which the machine has a place less in use: its only task is done.
   workers::worker_heartbeat freeing_heartbeat() {
-    hear("m-1");
+    send_heartbeat("m-1");
     auto& job = add_job("run-1", 1);
     workers.place(job, 0, "m-1", attempt_number(1));
     auto attempt = job.attempts().at(0);
@@ -36,32 +36,32 @@
       answers.push_back(std::move(answer));
     });
   }
-  static constexpr std::size_t most_early = 2;
+  static constexpr std::size_t max_early_heartbeats = 2;
   using answer_list = std::vector<std::optional<std::string>>;
   answer_list answers;
   leader::machine_drain drain{runtime, jobs, workers};
   std::unique_ptr<leader::heartbeat_intake> intake = std::make_unique<leader::heartbeat_intake>(
-      context, drain, loop, most_early,
+      context, drain, loop, max_early_heartbeats,
       leader::heartbeat_intake::callbacks{.lease_valid = [this] { return lease_valid; },
-                                          .recovered = [this] { return recovered; }});
+                                          .is_recovered = [this] { return recovered; }});
 };
 }  // namespace
 
 TEST_F(heartbeat_intake_test, an_ordinary_heartbeat_is_answered_at_once) {
-  EXPECT_FALSE(intake->any_heartbeat());
+  EXPECT_FALSE(intake->has_received_heartbeat());
   net.run_for(seconds(1));
   receive(heartbeat("m-1"));
   ASSERT_EQ(answers.size(), 1U);
   ASSERT_TRUE(answers[0].has_value());
   EXPECT_FALSE(answers[0]->empty());
-  EXPECT_TRUE(intake->any_heartbeat());
+  EXPECT_TRUE(intake->has_received_heartbeat());
   EXPECT_EQ(intake->last_heartbeat(), net.now());
 }
 
 // Guards against: successors that had read nothing renewed the leases of cancelled tasks.
 TEST_F(heartbeat_intake_test, before_recovery_a_worker_with_tasks_waits_and_is_sent_on) {
   recovered = false;
-  receive(with_live_task("m-1"));
+  receive(heartbeat_with_running_task("m-1"));
   net.run_for(milliseconds(990));
   EXPECT_TRUE(answers.empty());
   net.run_for(milliseconds(20));
@@ -70,10 +70,10 @@
 
 TEST_F(heartbeat_intake_test, recovery_answers_the_workers_that_wait) {
   recovered = false;
-  receive(with_live_task("m-1"));
+  receive(heartbeat_with_running_task("m-1"));
   net.run_for(milliseconds(500));
   recovered = true;
-  intake->receive_early();
+  intake->process_early_heartbeats();
   ASSERT_EQ(answers.size(), 1U);
   ASSERT_TRUE(answers[0].has_value());
   EXPECT_FALSE(answers[0]->empty());
@@ -84,7 +84,7 @@
 TEST_F(heartbeat_intake_test, before_recovery_only_so_many_workers_wait) {
   recovered = false;
   for (const machine_name& name : std::vector<machine_name>{"m-1", "m-2", "m-3"})
-    receive(with_live_task(name));
+    receive(heartbeat_with_running_task(name));
   EXPECT_EQ(answers, answer_list{std::nullopt}) << "the third is sent on";
 }
 
@@ -120,7 +120,7 @@
 TEST_F(heartbeat_intake_test, the_end_of_a_term_sends_waiting_workers_on) {
   receive(freeing_heartbeat());
   recovered = false;
-  receive(with_live_task("m-2"));
+  receive(heartbeat_with_running_task("m-2"));
   intake.reset();
   EXPECT_EQ(answers, (answer_list{std::nullopt, std::nullopt}));
 }
--- a/tests/job_loader_test.cpp
+++ b/tests/job_loader_test.cpp
@@ -16,7 +16,7 @@
   void recover() {
     loader.start();
     net.run_for(seconds(1));
-    ASSERT_TRUE(loader.recovered());
+    ASSERT_TRUE(loader.is_recovered());
   }
   int times_recovered = 0;
   std::set<job_id> ended;
@@ -36,7 +36,7 @@
 TEST_F(job_loader_test, reads_all_records_once) {
   for (int i = 0; i < 300; ++i)
     store_record("gd/job/run-" + std::to_string(i),
-                 job_store::write_head(job_announced(job_id("run-" + std::to_string(i)), 1)));
+                 job_store::write_head(new_job(job_id("run-" + std::to_string(i)), 1)));
   recover();
   EXPECT_EQ(jobs.all().size(), 300U);
   EXPECT_EQ(times_recovered, 1);
@@ -47,9 +47,9 @@
   state.outage(seconds(2));
   loader.start();
   net.run_for(seconds(1));
-  EXPECT_FALSE(loader.recovered());
+  EXPECT_FALSE(loader.is_recovered());
   net.run_for(seconds(3));
-  EXPECT_TRUE(loader.recovered());
+  EXPECT_TRUE(loader.is_recovered());
   EXPECT_NE(jobs.find("run-1"), nullptr);
 }
 
--- a/tests/leader_parts.hpp
+++ b/tests/leader_parts.hpp
@@ -73,18 +73,18 @@
     out.token = token;
     return out;
   }
-  workers::worker& hear(const machine_name& machine, const zone_name& zone = "a",
-                        bool spot = false) {
+  workers::worker& send_heartbeat(const machine_name& machine, const zone_name& zone = "a",
+                                  bool spot = false) {
     const auto next = heartbeat(machine, zone, spot);
     machines.heartbeat_received(machine, next.pool);
     workers.handle(next);
     return *workers.find(machine);
   }
   /// Time passes, while these machines send a heartbeat each second.
-  void hear_for(seconds span, const std::vector<machine_name>& names) {
+  void send_heartbeats_for(seconds span, const std::vector<machine_name>& names) {
     for (seconds passed(0); passed < span; passed += seconds(1)) {
       net.run_for(seconds(1));
-      for (const auto& name : names) hear(name);
+      for (const auto& name : names) send_heartbeat(name);
     }
   }
   static job_store::job_spec spec_of(const job_id& id, std::uint32_t tasks, bool gang = false) {
@@ -95,11 +95,11 @@
     spec.gang = gang;
     return spec;
   }
-  static job_store::job job_announced(const job_id& id, std::uint32_t tasks, bool gang = false) {
+  static job_store::job new_job(const job_id& id, std::uint32_t tasks, bool gang = false) {
     return {spec_of(id, tasks, gang), 0};
   }
   job_store::job& add_job(const job_id& id, std::uint32_t tasks, bool gang = false) {
-    return jobs.insert(job_announced(id, tasks, gang));
+    return jobs.insert(new_job(id, tasks, gang));
   }
   void store_record(const std::string& key, const kvstore::json& value) {
     store.txn({}, {{key, value, 0, false}}, [](const kvstore::result&) {});
@@ -156,14 +156,14 @@
   leader::decision_applier decisions{jobs, workers, machines, measured, token};
   leader::snapshot_builder snapshots{context, zones};
   scripted_executor executor{runtime};
-  std::function<void()> on_cycle_done = [] {};
+  std::function<void()> on_cycle_finished = [] {};
   leader::scheduling_loop loop{context,
                                executor,
                                snapshots,
                                decisions,
                                {.lease_valid = [this] { return lease_valid; },
-                                .recovered = [this] { return recovered; },
-                                .cycle_done = [this] { on_cycle_done(); }}};
+                                .is_recovered = [this] { return recovered; },
+                                .cycle_finished = [this] { on_cycle_finished(); }}};
 
  private:
   void take_job(const kvstore::entry&, time_point) override {}
--- a/tests/machine_drain_test.cpp
+++ b/tests/machine_drain_test.cpp
@@ -22,14 +22,14 @@
   }
   void drain_with_notice(duration termination_notice) {
     workers.find("m-1")->termination_notice = termination_notice;
-    drain.drain_noticed_machines();
+    drain.drain_machines_with_notice();
   }
   leader::machine_drain drain{runtime, jobs, workers};
 };
 }  // namespace
 
 TEST_F(machine_drain_test, stops_what_can_not_finish_in_half_the_time_announced) {
-  hear("m-1");
+  send_heartbeat("m-1");
   const auto& nearly_done = run_job("run-1", seconds(20));
   const auto& long_running = run_job("run-2", seconds(40));
   drain_with_notice(seconds(60));
@@ -39,22 +39,22 @@
 }
 
 TEST_F(machine_drain_test, stops_everything_when_there_is_hardly_time_to_save) {
-  hear("m-1");
+  send_heartbeat("m-1");
   const auto& nearly_done = run_job("run-1", seconds(1));
   drain_with_notice(seconds(8));
   EXPECT_TRUE(nearly_done.stopping);
 }
 
 TEST_F(machine_drain_test, stops_what_does_not_run_yet) {
-  hear("m-1");
+  send_heartbeat("m-1");
   const auto& fetching = run_job("run-1", seconds(1), job_store::attempt_phase::fetching);
   drain_with_notice(seconds(60));
   EXPECT_TRUE(fetching.stopping);
 }
 
 TEST_F(machine_drain_test, stops_a_gang_whole) {
-  hear("m-1");
-  hear("m-2");
+  send_heartbeat("m-1");
+  send_heartbeat("m-2");
   auto& gang = add_job("run-1", 2, true);
   workers.place(gang, 0, "m-1", attempt_number(1));
   workers.place(gang, 1, "m-2", attempt_number(1));
@@ -63,9 +63,9 @@
 }
 
 TEST_F(machine_drain_test, leaves_machines_without_notice_alone) {
-  hear("m-1");
+  send_heartbeat("m-1");
   const auto& attempt = run_job("run-1", seconds(1000));
-  drain.drain_noticed_machines();
+  drain.drain_machines_with_notice();
   EXPECT_FALSE(attempt.stopping);
 }
 
--- a/tests/scheduling_loop_test.cpp
+++ b/tests/scheduling_loop_test.cpp
@@ -9,7 +9,7 @@
 class scheduling_loop_test : public leader_parts {
  protected:
   scheduling_loop_test() {
-    on_cycle_done = [this] { ++cycles_reported; };
+    on_cycle_finished = [this] { ++cycles_reported; };
   }
   int cycles_reported = 0;
 };
@@ -21,15 +21,15 @@
   net.run_for(seconds(1));
   EXPECT_EQ(executor.cycles, 1);
   EXPECT_EQ(cycles_reported, 1);
-  EXPECT_EQ(loop.cycles_begun(), 1U);
-  EXPECT_EQ(loop.cycles_done(), 1U);
+  EXPECT_EQ(loop.cycles_started(), 1U);
+  EXPECT_EQ(loop.cycles_finished(), 1U);
 }
 
 TEST_F(scheduling_loop_test, a_change_during_a_cycle_brings_another) {
   loop.request_cycle();
   net.run_for(milliseconds(11));
-  ASSERT_EQ(loop.cycles_begun(), 1U);
-  ASSERT_EQ(loop.cycles_done(), 0U);
+  ASSERT_EQ(loop.cycles_started(), 1U);
+  ASSERT_EQ(loop.cycles_finished(), 0U);
   loop.request_cycle();
   net.run_for(seconds(1));
   EXPECT_EQ(executor.cycles, 2);
@@ -59,14 +59,14 @@
 }
 
 TEST_F(scheduling_loop_test, decisions_are_dropped_if_the_lease_ends_meanwhile) {
-  hear("m-1");
+  send_heartbeat("m-1");
   const auto& job = add_job("run-1", 1);
   executor.decisions.starts = {{"run-1", 0, "m-1"}};
   loop.request_cycle();
   net.run_for(milliseconds(11));
   lease_valid = false;
   net.run_for(seconds(1));
-  EXPECT_EQ(loop.cycles_done(), 1U);
+  EXPECT_EQ(loop.cycles_finished(), 1U);
   EXPECT_TRUE(job.attempts().empty());
 }
 
--- a/tests/snapshot_builder_test.cpp
+++ b/tests/snapshot_builder_test.cpp
@@ -16,7 +16,7 @@
   }
   /// Places the first attempt at task 0 of a job on m-1, which sends heartbeats.
   void place_task(job_store::job& job) {
-    hear("m-1");
+    send_heartbeat("m-1");
     workers.place(job, 0, "m-1", attempt_number(1));
   }
 };
@@ -64,7 +64,7 @@
 }
 
 TEST_F(snapshot_builder_test, shows_a_machine_that_goes_back_as_not_ready) {
-  hear("m-1");
+  send_heartbeat("m-1");
   ASSERT_TRUE(snapshots.build().machines.front()->ready);
   machines.release("m-1", cloud::release_reason::idle);
   EXPECT_FALSE(snapshots.build().machines.front()->ready);
--- a/tests/zone_health_test.cpp
+++ b/tests/zone_health_test.cpp
@@ -6,33 +6,33 @@
 namespace {
 class zone_health_test : public leader_parts {
  protected:
-  void hear_all(const std::vector<machine_name>& names) {
-    for (const auto& name : names) hear(name);
+  void send_heartbeats(const std::vector<machine_name>& names) {
+    for (const auto& name : names) send_heartbeat(name);
   }
 };
 }  // namespace
 
 TEST_F(zone_health_test, a_zone_is_cut_off_when_half_of_it_and_three_machines_are_silent) {
-  hear_all({"m-1", "m-2", "m-3", "m-4", "m-5", "m-6"});
-  hear_for(seconds(13), {"m-1", "m-2", "m-3"});
+  send_heartbeats({"m-1", "m-2", "m-3", "m-4", "m-5", "m-6"});
+  send_heartbeats_for(seconds(13), {"m-1", "m-2", "m-3"});
   zones.update({});
-  EXPECT_TRUE(zones.cut_off("a"));
-  EXPECT_EQ(zones.allowance("a"), leader::zone_health::cut_off_allowance);
-  EXPECT_FALSE(zones.cut_off("b"));
+  EXPECT_TRUE(zones.is_partitioned("a"));
+  EXPECT_EQ(zones.partition_grace("a"), leader::zone_health::partition_grace_period);
+  EXPECT_FALSE(zones.is_partitioned("b"));
 }
 
 TEST_F(zone_health_test, a_few_silent_machines_are_no_cut) {
-  hear_all({"m-1", "m-2", "m-3", "m-4", "m-5", "m-6", "m-7"});
-  hear_for(seconds(13), {"m-1", "m-2", "m-3", "m-4"});
+  send_heartbeats({"m-1", "m-2", "m-3", "m-4", "m-5", "m-6", "m-7"});
+  send_heartbeats_for(seconds(13), {"m-1", "m-2", "m-3", "m-4"});
   zones.update({});
-  EXPECT_FALSE(zones.cut_off("a")) << "less than half";
+  EXPECT_FALSE(zones.is_partitioned("a")) << "less than half";
 }
 
 TEST_F(zone_health_test, two_machines_are_too_few_for_a_cut) {
-  hear_all({"m-1", "m-2"});
+  send_heartbeats({"m-1", "m-2"});
   net.run_for(seconds(13));
   zones.update({});
-  EXPECT_FALSE(zones.cut_off("a"));
+  EXPECT_FALSE(zones.is_partitioned("a"));
 }
 
 // Guards against: a successor that had never heard a zone's machines returned all of them.
@@ -41,40 +41,40 @@
     machines.heartbeat_received(name, {"g8", "a", false});
   net.run_for(seconds(13));
   zones.update({});
-  EXPECT_TRUE(zones.cut_off("a"));
+  EXPECT_TRUE(zones.is_partitioned("a"));
 }
 
 TEST_F(zone_health_test, a_zone_is_in_doubt_as_soon_as_half_of_it_is_overdue) {
-  hear_all({"m-1", "m-2", "m-3"});
+  send_heartbeats({"m-1", "m-2", "m-3"});
   net.run_for(seconds(4));
   zones.update({});
-  EXPECT_FALSE(zones.in_doubt("a"));
+  EXPECT_FALSE(zones.is_mostly_overdue("a"));
   net.run_for(seconds(1));
   zones.update({});
-  EXPECT_TRUE(zones.in_doubt("a"));
-  EXPECT_FALSE(zones.cut_off("a"));
+  EXPECT_TRUE(zones.is_mostly_overdue("a"));
+  EXPECT_FALSE(zones.is_partitioned("a"));
 }
 
 // Guards against: when the first half of a zone was back, the other half was returned.
 TEST_F(zone_health_test, a_cut_that_has_ended_counts_for_a_workers_lease) {
   zones.update({"a"});
-  EXPECT_TRUE(zones.cut_off("a")) << "a delegate acts there";
+  EXPECT_TRUE(zones.is_partitioned("a")) << "a delegate acts there";
   net.run_for(seconds(3));
-  EXPECT_FALSE(zones.cut_off("a"));
-  EXPECT_EQ(zones.allowance("a"), leader::zone_health::cut_off_allowance);
+  EXPECT_FALSE(zones.is_partitioned("a"));
+  EXPECT_EQ(zones.partition_grace("a"), leader::zone_health::partition_grace_period);
   net.run_for(worker_lease);
-  EXPECT_EQ(zones.allowance("a"), duration::zero());
+  EXPECT_EQ(zones.partition_grace("a"), duration::zero());
 }
 
 TEST_F(zone_health_test, many_machines_that_receive_nothing_make_a_zone_unreachable) {
-  hear_all({"m-1", "m-2", "m-3", "m-4"});
+  send_heartbeats({"m-1", "m-2", "m-3", "m-4"});
   workers.find("m-1")->unreachable_since = net.now();
   workers.find("m-2")->unreachable_since = net.now();
   zones.update({});
-  EXPECT_FALSE(zones.unreachable("a"));
+  EXPECT_FALSE(zones.is_mostly_unreachable("a"));
   workers.find("m-3")->unreachable_since = net.now();
   zones.update({});
-  EXPECT_TRUE(zones.unreachable("a"));
+  EXPECT_TRUE(zones.is_mostly_unreachable("a"));
 }
 
 }  // namespace gingerdrift::testing
