--- a/src/leader/heartbeat_intake.cpp
+++ b/src/leader/heartbeat_intake.cpp
@@ -21,7 +21,7 @@
 
 heartbeat_intake::heartbeat_intake(const term_context& context, machine_drain& drain,
                                    const scheduling_loop& loop, std::size_t max_early_heartbeats,
-                                   callbacks owner)
+                                   callbacks owner_callbacks)
     : runtime_(context.runtime),
       jobs_(context.jobs),
       workers_(context.workers),
@@ -30,7 +30,7 @@
       loop_(loop),
       token_(context.token),
       max_early_heartbeats_(max_early_heartbeats),
-      callbacks_(std::move(owner)),
+      callbacks_(std::move(owner_callbacks)),
       term_start_(runtime_.now()),
       last_heartbeat_(term_start_) {}
 
--- a/src/leader/heartbeat_intake.hpp
+++ b/src/leader/heartbeat_intake.hpp
@@ -34,7 +34,7 @@
   };
   /// `max_early_heartbeats`: how many heartbeats may wait until all records have been read.
   heartbeat_intake(const term_context& context, machine_drain& drain, const scheduling_loop& loop,
-                   std::size_t max_early_heartbeats, callbacks owner);
+                   std::size_t max_early_heartbeats, callbacks owner_callbacks);
   /// Redirects all workers that still wait for an answer to another controller.
   ~heartbeat_intake();
   heartbeat_intake(const heartbeat_intake&) = delete;
--- a/src/leader/job_loader.cpp
+++ b/src/leader/job_loader.cpp
@@ -22,12 +22,13 @@
 }
 }  // namespace
 
-job_loader::job_loader(const term_context& context, kvstore::client& store, callbacks owner)
+job_loader::job_loader(const term_context& context, kvstore::client& store,
+                       callbacks owner_callbacks)
     : runtime_(context.runtime),
       store_(store),
       jobs_(context.jobs),
       dependencies_(context.dependencies),
-      callbacks_(std::move(owner)) {
+      callbacks_(std::move(owner_callbacks)) {
   for (const auto& team : context.platform.teams) known_teams_.insert(team.name);
 }
 
--- a/src/leader/job_loader.hpp
+++ b/src/leader/job_loader.hpp
@@ -32,7 +32,7 @@
     /// Returns the terminal state of a job if this process has seen it in the store.
     std::function<std::optional<job_store::terminal_state>(const job_id&)> cached_terminal_state;
   };
-  job_loader(const term_context& context, kvstore::client& store, callbacks owner);
+  job_loader(const term_context& context, kvstore::client& store, callbacks owner_callbacks);
 
   /// Starts to read all records.
   void start();
--- a/src/leader/leader_term.cpp
+++ b/src/leader/leader_term.cpp
@@ -54,11 +54,11 @@
 
 leader_term::leader_term(const term_environment& environment, fencing_token token,
                          const kvstore::condition& leader,
-                         std::vector<admission::machine_type> types, callbacks owner)
+                         std::vector<admission::machine_type> types, callbacks owner_callbacks)
     : runtime_(environment.runtime),
       platform_(environment.platform),
       token_(token),
-      callbacks_(std::move(owner)),
+      callbacks_(std::move(owner_callbacks)),
       term_start_(runtime_.now()),
       jobs_(runtime_, environment.store, leader,
             kvstore::writable_sizes(platform_.state_limits, platform_.announced_state_limits),
--- a/src/leader/leader_term.hpp
+++ b/src/leader/leader_term.hpp
@@ -47,7 +47,7 @@
   /// `leader`: the condition on the leader key that is attached to every write of this term.
   leader_term(const term_environment& environment, fencing_token token,
               const kvstore::condition& leader, std::vector<admission::machine_type> types,
-              callbacks owner);
+              callbacks owner_callbacks);
   leader_term(const leader_term&) = delete;
   leader_term& operator=(const leader_term&) = delete;
 
--- a/src/leader/scheduling_loop.cpp
+++ b/src/leader/scheduling_loop.cpp
@@ -29,7 +29,7 @@
 
 scheduling_loop::scheduling_loop(const term_context& context, scheduling_executor& executor,
                                  snapshot_builder& snapshots, decision_applier& decisions,
-                                 callbacks owner)
+                                 callbacks owner_callbacks)
     : runtime_(context.runtime),
       executor_(executor),
       snapshots_(snapshots),
@@ -38,7 +38,7 @@
       metrics_(context.controller_metrics),
       token_(context.token),
       min_cycle_interval_(context.operator_settings.pass_interval),
-      callbacks_(std::move(owner)),
+      callbacks_(std::move(owner_callbacks)),
       timer_(runtime_) {}
 
 void scheduling_loop::request_cycle() {
--- a/src/leader/scheduling_loop.hpp
+++ b/src/leader/scheduling_loop.hpp
@@ -34,7 +34,8 @@
     std::function<void()> cycle_finished;
   };
   scheduling_loop(const term_context& context, scheduling_executor& executor,
-                  snapshot_builder& snapshots, decision_applier& decisions, callbacks owner);
+                  snapshot_builder& snapshots, decision_applier& decisions,
+                  callbacks owner_callbacks);
 
   /// Requests a cycle because something has changed that affects scheduling.
   void request_cycle();
--- a/tests/decision_applier_test.cpp
+++ b/tests/decision_applier_test.cpp
@@ -1,4 +1,5 @@
-// A cycle's decisions are checked against the present before they are carried out.
+// Tests that the decisions of a cycle are validated against the current state when they are
+// applied.
 #include "leader_parts.hpp"
 
 namespace gingerdrift::testing {
@@ -7,19 +8,19 @@
 class decision_applier_test : public leader_parts {
  protected:
   void start(const std::vector<admission::start_decision>& starts) {
-    admission::decisions made;
-    made.starts = starts;
-    decisions.apply(made);
+    admission::decisions cycle_decisions;
+    cycle_decisions.starts = starts;
+    decisions.apply(cycle_decisions);
   }
   void stop(const job_id& job, std::vector<std::uint32_t> tasks, admission::stop_reason reason) {
-    admission::decisions made;
-    made.stops = {{job, std::move(tasks), reason, "run-9"}};
-    decisions.apply(made);
+    admission::decisions cycle_decisions;
+    cycle_decisions.stops = {{job, std::move(tasks), reason, "run-9"}};
+    decisions.apply(cycle_decisions);
   }
 };
 }  // namespace
 
-TEST_F(decision_applier_test, places_tasks_with_rising_attempt_numbers) {
+TEST_F(decision_applier_test, places_tasks_with_increasing_attempt_numbers) {
   send_heartbeat("m-1");
   auto& job = add_job("run-1", 2);
   start({{"run-1", 0, "m-1"}, {"run-1", 1, "m-1"}});
@@ -37,7 +38,7 @@
   EXPECT_EQ(job.attempts().at(0).number, job.attempts().at(1).number);
 }
 
-TEST_F(decision_applier_test, a_gang_starts_whole_or_not_at_all) {
+TEST_F(decision_applier_test, starts_all_members_of_a_gang_or_none) {
   send_heartbeat("m-1");
   auto& gang = add_job("run-1", 2, true);
   auto& array = add_job("run-2", 2);
@@ -46,7 +47,7 @@
   EXPECT_EQ(array.attempts().size(), 1U);
 }
 
-TEST_F(decision_applier_test, starts_nothing_that_is_done_placed_or_cancelled) {
+TEST_F(decision_applier_test, starts_no_task_that_is_done_placed_or_cancelled) {
   send_heartbeat("m-1");
   auto& job = add_job("run-1", 3);
   job.finish_task(0);
@@ -59,7 +60,7 @@
   EXPECT_EQ(job.attempts().size(), 1U);
 }
 
-TEST_F(decision_applier_test, starts_nothing_on_a_machine_that_goes_back) {
+TEST_F(decision_applier_test, starts_no_task_on_a_machine_being_released) {
   send_heartbeat("m-1");
   auto& job = add_job("run-1", 1);
   machines.release("m-1", cloud::release_reason::idle);
@@ -67,7 +68,7 @@
   EXPECT_TRUE(job.attempts().empty());
 }
 
-TEST_F(decision_applier_test, stops_the_tasks_named_or_a_whole_gang) {
+TEST_F(decision_applier_test, stops_the_given_tasks_or_the_whole_gang) {
   send_heartbeat("m-1");
   auto& array = add_job("run-1", 2);
   auto& gang = add_job("run-2", 2, true);
@@ -82,10 +83,10 @@
   EXPECT_EQ(measured.upgrades, 1U);
 }
 
-TEST_F(decision_applier_test, remembers_the_machines_that_jobs_count_on) {
-  admission::decisions made;
-  made.awaited_machines = {"m-1"};
-  decisions.apply(made);
+TEST_F(decision_applier_test, reports_the_machines_that_jobs_wait_for) {
+  admission::decisions cycle_decisions;
+  cycle_decisions.awaited_machines = {"m-1"};
+  decisions.apply(cycle_decisions);
   EXPECT_TRUE(decisions.is_awaited("m-1"));
   EXPECT_FALSE(decisions.is_awaited("m-2"));
 }
--- a/tests/heartbeat_intake_test.cpp
+++ b/tests/heartbeat_intake_test.cpp
@@ -1,4 +1,4 @@
-// When a worker's heartbeat is answered.
+// Tests when a worker's heartbeat is answered.
 #include "leader/heartbeat_intake.hpp"
 
 #include "leader_parts.hpp"
@@ -11,14 +11,15 @@
   heartbeat_intake_test() {
     on_cycle_finished = [this] { intake->answer_held_heartbeats(); };
   }
-  /// A heartbeat that lists a task of a job nobody knows.
+  /// Returns a heartbeat that lists a running task of a job that is not in the job table.
   workers::worker_heartbeat heartbeat_with_running_task(const machine_name& machine) {
     auto out = heartbeat(machine);
     out.tasks = {{"run-9", 0, attempt_number(1), job_store::attempt_phase::running,
                   workers::exit_cause::none}};
     return out;
   }
-  /// A heartbeat after which the machine has a place less in use: its only task is done.
+  /// Returns a heartbeat that frees capacity, because it reports that the machine's only task is
+  /// done.
   workers::worker_heartbeat freeing_heartbeat() {
     send_heartbeat("m-1");
     auto& job = add_job("run-1", 1);
@@ -47,7 +48,7 @@
 };
 }  // namespace
 
-TEST_F(heartbeat_intake_test, an_ordinary_heartbeat_is_answered_at_once) {
+TEST_F(heartbeat_intake_test, a_heartbeat_that_frees_nothing_is_answered_immediately) {
   EXPECT_FALSE(intake->has_received_heartbeat());
   net.run_for(seconds(1));
   receive(heartbeat("m-1"));
@@ -58,8 +59,9 @@
   EXPECT_EQ(intake->last_heartbeat(), net.now());
 }
 
-// Guards against: successors that had read nothing renewed the leases of cancelled tasks.
-TEST_F(heartbeat_intake_test, before_recovery_a_worker_with_tasks_waits_and_is_sent_on) {
+// Guards against this failure: new leaders that had not read the records yet answered heartbeats
+// and thereby renewed the leases of cancelled tasks.
+TEST_F(heartbeat_intake_test, before_recovery_a_worker_with_tasks_waits_and_is_then_redirected) {
   recovered = false;
   receive(heartbeat_with_running_task("m-1"));
   net.run_for(milliseconds(990));
@@ -68,7 +70,7 @@
   EXPECT_EQ(answers, answer_list{std::nullopt});
 }
 
-TEST_F(heartbeat_intake_test, recovery_answers_the_workers_that_wait) {
+TEST_F(heartbeat_intake_test, waiting_workers_are_answered_after_recovery) {
   recovered = false;
   receive(heartbeat_with_running_task("m-1"));
   net.run_for(milliseconds(500));
@@ -81,11 +83,11 @@
   EXPECT_EQ(answers.size(), 1U);
 }
 
-TEST_F(heartbeat_intake_test, before_recovery_only_so_many_workers_wait) {
+TEST_F(heartbeat_intake_test, before_recovery_the_number_of_waiting_workers_is_limited) {
   recovered = false;
   for (const machine_name& name : std::vector<machine_name>{"m-1", "m-2", "m-3"})
     receive(heartbeat_with_running_task(name));
-  EXPECT_EQ(answers, answer_list{std::nullopt}) << "the third is sent on";
+  EXPECT_EQ(answers, answer_list{std::nullopt}) << "the third worker is redirected";
 }
 
 TEST_F(heartbeat_intake_test, a_worker_without_tasks_does_not_wait_for_recovery) {
@@ -94,7 +96,7 @@
   EXPECT_EQ(answers.size(), 1U);
 }
 
-TEST_F(heartbeat_intake_test, a_heartbeat_that_frees_a_place_waits_for_the_next_cycle) {
+TEST_F(heartbeat_intake_test, a_heartbeat_that_frees_capacity_is_answered_after_the_next_cycle) {
   receive(freeing_heartbeat());
   EXPECT_TRUE(answers.empty());
   loop.request_cycle();
@@ -102,7 +104,7 @@
   EXPECT_EQ(answers.size(), 1U);
 }
 
-TEST_F(heartbeat_intake_test, it_waits_for_a_short_time_only) {
+TEST_F(heartbeat_intake_test, a_held_answer_is_sent_after_its_deadline_without_a_cycle) {
   receive(freeing_heartbeat());
   net.run_for(milliseconds(390));
   EXPECT_TRUE(answers.empty());
@@ -110,14 +112,14 @@
   EXPECT_EQ(answers.size(), 1U);
 }
 
-TEST_F(heartbeat_intake_test, without_a_lease_nothing_is_held_back) {
+TEST_F(heartbeat_intake_test, no_answer_is_held_without_a_valid_leader_lease) {
   auto freeing = freeing_heartbeat();
   lease_valid = false;
   receive(std::move(freeing));
   EXPECT_EQ(answers.size(), 1U);
 }
 
-TEST_F(heartbeat_intake_test, the_end_of_a_term_sends_waiting_workers_on) {
+TEST_F(heartbeat_intake_test, waiting_workers_are_redirected_at_the_end_of_the_term) {
   receive(freeing_heartbeat());
   recovered = false;
   receive(heartbeat_with_running_task("m-2"));
--- a/tests/job_loader_test.cpp
+++ b/tests/job_loader_test.cpp
@@ -1,4 +1,4 @@
-// How jobs come from the store into the leader's table.
+// Tests how jobs are loaded from the store into the leader's job table.
 #include "leader/job_loader.hpp"
 
 #include "leader_parts.hpp"
@@ -33,7 +33,7 @@
 };
 }  // namespace
 
-TEST_F(job_loader_test, reads_all_records_once) {
+TEST_F(job_loader_test, reads_all_records_and_reports_recovery_once) {
   for (int i = 0; i < 300; ++i)
     store_record("gd/job/run-" + std::to_string(i),
                  job_store::write_head(new_job(job_id("run-" + std::to_string(i)), 1)));
@@ -42,7 +42,7 @@
   EXPECT_EQ(times_recovered, 1);
 }
 
-TEST_F(job_loader_test, goes_on_after_an_outage_of_the_store) {
+TEST_F(job_loader_test, retries_after_an_outage_of_the_store) {
   store_job("run-1");
   state.outage(seconds(2));
   loader.start();
@@ -53,7 +53,7 @@
   EXPECT_NE(jobs.find("run-1"), nullptr);
 }
 
-TEST_F(job_loader_test, passes_over_records_that_are_malformed_or_of_unknown_teams) {
+TEST_F(job_loader_test, skips_records_that_are_malformed_or_of_unknown_teams) {
   store_record("gd/job/run-1", {{"spec", 3}});
   store_job("run-2", "nobody");
   store_job("run-3");
@@ -63,14 +63,14 @@
   EXPECT_NE(jobs.find("run-3"), nullptr);
 }
 
-TEST_F(job_loader_test, the_watch_finds_a_job_without_a_hint) {
+TEST_F(job_loader_test, the_watch_finds_a_job_that_was_not_announced) {
   recover();
   store_job("run-1");
   net.run_for(seconds(3));
   EXPECT_NE(jobs.find("run-1"), nullptr);
 }
 
-TEST_F(job_loader_test, a_hint_brings_a_job_at_once) {
+TEST_F(job_loader_test, an_announced_job_is_loaded_immediately) {
   recover();
   store_job("run-1");
   loader.fetch("run-1");
@@ -78,13 +78,13 @@
   EXPECT_NE(jobs.find("run-1"), nullptr);
 }
 
-TEST_F(job_loader_test, a_hint_before_recovery_is_ignored) {
+TEST_F(job_loader_test, an_announcement_before_recovery_is_ignored) {
   loader.fetch("run-1");
   net.run_for(seconds(1));
   EXPECT_EQ(state.requests_taken(), 0U);
 }
 
-TEST_F(job_loader_test, brings_back_no_job_that_is_known_to_have_ended) {
+TEST_F(job_loader_test, does_not_load_a_job_that_is_known_to_have_ended) {
   ended.insert("run-1");
   store_job("run-1");
   recover();
--- a/tests/leader_parts.hpp
+++ b/tests/leader_parts.hpp
@@ -16,7 +16,7 @@
 
 namespace gingerdrift::testing {
 
-/// Counts scheduling cycles and returns the decisions that the test prepared, 2 ms later.
+/// Counts scheduling cycles and returns the decisions prepared by the test after 2 ms.
 class scripted_executor final : public leader::scheduling_executor {
  public:
   explicit scripted_executor(net::runtime& runtime) : runtime_(runtime) {}
@@ -35,8 +35,8 @@
   net::runtime& runtime_;
 };
 
-/// The leader's state and the parts that tests of other parts need, in virtual time: one team, one
-/// machine type, no cloud.
+/// Fixture with the leader's state and the components that the tested component depends on. Runs in
+/// virtual time, with one team, one machine type and no cloud service.
 class leader_parts : public ::testing::Test, private dependencies::tracker_owner {
  protected:
   static constexpr fencing_token token{1};
@@ -61,7 +61,7 @@
     out.teams = {{.name = "red"}};
     return out;
   }
-  /// The next heartbeat of a machine, without tasks.
+  /// Returns the next heartbeat of a machine, without tasks.
   workers::worker_heartbeat heartbeat(const machine_name& machine, const zone_name& zone = "a",
                                       bool spot = false) {
     workers::worker_heartbeat out;
@@ -73,6 +73,7 @@
     out.token = token;
     return out;
   }
+  /// Delivers the next heartbeat of a machine, without tasks, and returns the machine's worker.
   workers::worker& send_heartbeat(const machine_name& machine, const zone_name& zone = "a",
                                   bool spot = false) {
     const auto next = heartbeat(machine, zone, spot);
@@ -80,7 +81,7 @@
     workers.handle(next);
     return *workers.find(machine);
   }
-  /// Time passes, while these machines send a heartbeat each second.
+  /// Advances the time by `span`, while each of these machines sends a heartbeat every second.
   void send_heartbeats_for(seconds span, const std::vector<machine_name>& names) {
     for (seconds passed(0); passed < span; passed += seconds(1)) {
       net.run_for(seconds(1));
--- a/tests/leader_term_test.cpp
+++ b/tests/leader_term_test.cpp
@@ -1,4 +1,4 @@
-// A term of leadership against the state service alone.
+// Tests a term of leadership against the simulated state service, without machines.
 #include <gtest/gtest.h>
 
 #include <memory>
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// Decides nothing, and keeps the snapshot that a scheduling cycle would have seen.
+/// Returns no decisions and keeps the snapshot of the last scheduling cycle.
 class idle_executor final : public leader::scheduling_executor {
  public:
   explicit idle_executor(net::runtime& runtime) : runtime_(runtime) {}
@@ -27,7 +27,7 @@
   net::runtime& runtime_;
 };
 
-/// A term that has read an empty store. Its cache of terminal states forgets each at once.
+/// Fixture with a term that has read an empty store. Its cache of terminal states is always empty.
 class leader_term_test : public ::testing::Test {
  protected:
   leader_term_test() {
@@ -66,13 +66,13 @@
     client.txn({}, {{key, value, 0, false}}, [](const kvstore::result&) {});
     net.run_for(milliseconds(20));
   }
-  /// The jobs that the last scheduling cycle saw.
+  /// Returns the jobs in the snapshot of the last scheduling cycle.
   std::set<job_id> scheduled_jobs() const {
     std::set<job_id> ids;
     for (const auto& job : executor.last.jobs) ids.insert(job->id);
     return ids;
   }
-  /// Stores a job as another controller does that accepted it.
+  /// Stores a job in the way another controller does when it accepts the job.
   void accept(const job_id& id, std::vector<job_id> dependencies = {},
               admission::priority priority = admission::priority::low) {
     job_store::job_spec spec;
@@ -103,7 +103,8 @@
 
 }  // namespace
 
-// The head is read twice: once for a hint of its acceptance, and once because another job needs it.
+// The head is read twice: once because the job was announced, and once because another job depends
+// on it. The answer to the first read is delayed until the job has ended.
 TEST_F(leader_term_test, ignores_a_head_that_was_read_before_its_job_ended) {
   state.hold_next_answer("/store/gd/job/run-1", milliseconds(1200));
   accept("run-1");
@@ -111,14 +112,15 @@
   accept("run-2", {"run-1"});
   term->fetch_job("run-2");
   net.run_for(milliseconds(400));
-  ASSERT_TRUE(term->state_of("run-1").has_value()) << "it came with the job that needs it";
+  ASSERT_TRUE(term->state_of("run-1").has_value())
+      << "it was loaded for the job that depends on it";
   cancel("run-1");
   net.run_for(milliseconds(400));
-  ASSERT_FALSE(term->state_of("run-1").has_value()) << "it is over";
+  ASSERT_FALSE(term->state_of("run-1").has_value()) << "it has ended";
   ASSERT_NE(state.peek("gd/final/run-1"), nullptr);
   for (int step = 0; step < 40; ++step) {
     net.run_for(milliseconds(100));
-    EXPECT_FALSE(term->state_of("run-1").has_value()) << "and stays so";
+    EXPECT_FALSE(term->state_of("run-1").has_value()) << "it is not loaded again";
   }
   EXPECT_EQ(state.peek("gd/job/run-1"), nullptr);
 }
@@ -126,7 +128,7 @@
 TEST_F(leader_term_test, ignores_a_head_that_names_another_job) {
   accept("run-1");
   kvstore::json head = *state.peek("gd/job/run-1");
-  head["spec"]["id"] = "run-8";  // which nobody submitted
+  head["spec"]["id"] = "run-8";  // a job that was never submitted
   client.txn({}, {{"gd/job/run-7", head, 0, false}}, [](const kvstore::result&) {});
   net.run_for(milliseconds(50));
   term->fetch_job("run-7");
@@ -136,25 +138,29 @@
   EXPECT_TRUE(term->state_of("run-1").has_value()) << "the watch finds it";
 }
 
-// What waits for other jobs holds nothing: a cycle that doesn't see it gives it neither quota nor
-// room, and neither rents for it nor counts it among those that wait for a pool.
+// A job that waits for its dependencies must not occupy anything. A cycle whose snapshot does not
+// contain the job assigns it no quota or capacity, rents no machines for it, and does not count it
+// among the jobs that wait for a pool.
 TEST_F(leader_term_test,
-       keeps_waiting_jobs_out_of_scheduling_and_raises_the_priority_of_what_they_need) {
+       keeps_waiting_jobs_out_of_scheduling_and_raises_the_priority_of_their_dependencies) {
   accept("run-1");
   accept("run-2", {"run-1"});
   accept("run-3", {"run-2"}, admission::priority::high);
   for (const job_id& id : std::vector<job_id>{"run-1", "run-2", "run-3"}) term->fetch_job(id);
   net.run_for(seconds(1));
   EXPECT_EQ(scheduled_jobs(), std::set<job_id>({"run-1"}));
-  EXPECT_EQ(executor.last.jobs.front()->level, admission::priority::high) << "through both";
+  EXPECT_EQ(executor.last.jobs.front()->level, admission::priority::high)
+      << "inherited through both dependencies";
   const auto state_of_waiting = *term->state_of("run-2");
   EXPECT_EQ(api::state_name(state_of_waiting), std::string("pending"));
   cancel("run-3");
   net.run_for(seconds(1));
-  EXPECT_EQ(executor.last.jobs.front()->level, admission::priority::low) << "nobody urgent is left";
+  EXPECT_EQ(executor.last.jobs.front()->level, admission::priority::low)
+      << "no urgent job depends on it any more";
 }
 
-// Its age counts from when its last dependency was done, its deadline from its submission.
+// The age of a job starts when its last dependency is done; its deadline is relative to its
+// submission.
 TEST_F(leader_term_test, counts_the_age_of_a_job_from_when_it_became_ready) {
   store_record("gd/final/run-1", {{"status", "done"}, {"done", 1}});
   net.run_for(seconds(30));
@@ -168,8 +174,9 @@
   net.run_for(seconds(5));
   const kvstore::json* head = state.peek("gd/job/run-2");
   ASSERT_NE(head, nullptr);
-  EXPECT_EQ(head->at("created"), 0) << "the time of its submission is kept";
-  EXPECT_EQ(head->at("ready"), executor.last.jobs.front()->created_ms) << "for successors";
+  EXPECT_EQ(head->at("created"), 0) << "the time of submission is kept";
+  EXPECT_EQ(head->at("ready"), executor.last.jobs.front()->created_ms)
+      << "stored for later leaders";
 }
 
 }  // namespace gingerdrift::testing
--- a/tests/lease_policy_test.cpp
+++ b/tests/lease_policy_test.cpp
@@ -1,4 +1,5 @@
-// How long workers' leases may be renewed without the store, and when cancellations are told.
+// Tests for how long worker leases may be renewed without the store, and when cancellations are
+// acknowledged to users.
 #include "leader/lease_policy.hpp"
 
 #include <gtest/gtest.h>
@@ -14,23 +15,24 @@
 }
 }  // namespace
 
-TEST(lease_policy, leases_are_renewed_for_what_a_cancellation_has_beyond_the_longest_lease) {
+TEST(lease_policy, renewal_grace_is_the_cancellation_time_less_the_longest_lease_and_a_margin) {
   const duration grace = leader::renewal_grace(with_times(seconds(44), seconds(24)));
   EXPECT_NEAR(to_seconds(grace), 44 - 24 * 1.001 - 3, 1e-6);
 }
 
-TEST(lease_policy, nothing_is_renewed_without_the_store_where_a_lease_outlasts_a_cancellation) {
+TEST(lease_policy, renewal_grace_is_zero_if_a_lease_lasts_longer_than_the_cancellation_time) {
   EXPECT_EQ(leader::renewal_grace(with_times(seconds(20), seconds(24))), duration::zero());
   EXPECT_EQ(leader::renewal_grace(with_times(seconds(27), seconds(24))), duration::zero());
 }
 
-TEST(lease_policy, cancellations_are_told_late_where_a_lease_outlasts_them) {
+TEST(lease_policy,
+     cancellations_are_acknowledged_late_if_a_lease_lasts_longer_than_the_cancellation_time) {
   using job_store::cancellation_acknowledgement;
   EXPECT_EQ(leader::acknowledgement_of_cancellations(with_times(seconds(44), seconds(24))),
             cancellation_acknowledgement::when_stored);
   EXPECT_EQ(leader::acknowledgement_of_cancellations(with_times(seconds(27), seconds(24))),
             cancellation_acknowledgement::when_tasks_are_gone)
-      << "the clocks' drift counts";
+      << "the clock drift is included";
 }
 
 }  // namespace gingerdrift::testing
--- a/tests/scale_in_test.cpp
+++ b/tests/scale_in_test.cpp
@@ -1,4 +1,4 @@
-// Which machines go back to the cloud, and when.
+// Tests which machines are returned to the cloud, and when.
 #include "leader/scale_in.hpp"
 
 #include "leader_parts.hpp"
@@ -8,6 +8,7 @@
 namespace {
 class scale_in_test : public leader_parts {
  protected:
+  /// Runs one scale-in round and reports whether the machine is being released.
   bool released(const machine_name& machine) {
     scale_in.release_machines();
     return machines.releasing(machine);
@@ -16,7 +17,7 @@
 };
 }  // namespace
 
-TEST_F(scale_in_test, an_idle_machine_goes_once_its_least_time_is_paid) {
+TEST_F(scale_in_test, an_idle_machine_is_released_after_the_minimum_rental_time) {
   send_heartbeat("m-1");
   send_heartbeats_for(seconds(58), {"m-1"});
   EXPECT_FALSE(released("m-1"));
@@ -24,25 +25,25 @@
   EXPECT_TRUE(released("m-1"));
 }
 
-TEST_F(scale_in_test, a_machine_that_some_waiting_job_counts_on_stays) {
+TEST_F(scale_in_test, a_machine_that_a_job_waits_for_is_kept) {
   send_heartbeat("m-1");
-  admission::decisions made;
-  made.awaited_machines = {"m-1"};
-  decisions.apply(made);
+  admission::decisions cycle_decisions;
+  cycle_decisions.awaited_machines = {"m-1"};
+  decisions.apply(cycle_decisions);
   send_heartbeats_for(seconds(70), {"m-1"});
   EXPECT_FALSE(released("m-1"));
   decisions.apply({});
   EXPECT_TRUE(released("m-1"));
 }
 
-TEST_F(scale_in_test, a_machine_with_an_attempt_stays) {
+TEST_F(scale_in_test, a_machine_with_an_attempt_is_kept) {
   send_heartbeat("m-1");
   send_heartbeats_for(seconds(70), {"m-1"});
   workers.place(add_job("run-1", 1), 0, "m-1", attempt_number(1));
   EXPECT_FALSE(released("m-1"));
 }
 
-TEST_F(scale_in_test, a_silent_machine_goes_after_the_workers_lease) {
+TEST_F(scale_in_test, an_unresponsive_machine_is_released_after_the_worker_lease) {
   send_heartbeat("m-1");
   net.run_for(seconds(23));
   EXPECT_FALSE(released("m-1"));
@@ -50,13 +51,13 @@
   EXPECT_TRUE(released("m-1"));
 }
 
-TEST_F(scale_in_test, a_silent_spot_machine_goes_after_half_of_it) {
+TEST_F(scale_in_test, an_unresponsive_spot_machine_is_released_after_half_the_worker_lease) {
   send_heartbeat("m-1", "a", true);
   net.run_for(seconds(13));
   EXPECT_TRUE(released("m-1"));
 }
 
-TEST_F(scale_in_test, silent_machines_of_a_zone_that_is_cut_off_are_kept_longer) {
+TEST_F(scale_in_test, unresponsive_machines_of_a_partitioned_zone_are_kept_longer) {
   send_heartbeat("m-1");
   net.run_for(seconds(100));
   zones.update({"a"});
@@ -66,8 +67,8 @@
   EXPECT_TRUE(released("m-1"));
 }
 
-// Guards against: a leader that its workers could not reach returned 73 spot machines.
-TEST_F(scale_in_test, no_silent_machine_of_a_zone_in_doubt_goes) {
+// Guards against this failure: a leader that its workers could not reach returned 73 spot machines.
+TEST_F(scale_in_test, no_unresponsive_machine_is_released_while_its_zone_is_mostly_overdue) {
   for (const machine_name& name : std::vector<machine_name>{"m-1", "m-2", "m-3"})
     send_heartbeat(name, "a", true);
   net.run_for(seconds(7));
@@ -75,24 +76,24 @@
   send_heartbeat("m-3", "a", true);
   net.run_for(seconds(6));
   zones.update({});
-  ASSERT_TRUE(zones.is_mostly_overdue("a")) << "all are overdue, one of them silent";
+  ASSERT_TRUE(zones.is_mostly_overdue("a")) << "all are overdue, and one of them has timed out";
   ASSERT_FALSE(zones.is_partitioned("a"));
   EXPECT_FALSE(released("m-1"));
 }
 
-TEST_F(scale_in_test, a_quarantined_machine_goes_after_a_while) {
+TEST_F(scale_in_test, a_quarantined_machine_is_released_after_a_delay) {
   send_heartbeat("m-1").quarantined_since = net.now();
   send_heartbeats_for(seconds(14), {"m-1"});
-  EXPECT_FALSE(released("m-1")) << "its jobs may fail elsewhere too";
+  EXPECT_FALSE(released("m-1")) << "its jobs may still fail on other machines";
   send_heartbeats_for(seconds(2), {"m-1"});
   EXPECT_TRUE(released("m-1"));
 }
 
-TEST_F(scale_in_test, an_unreachable_machine_goes_only_after_several_probes) {
+TEST_F(scale_in_test, an_unreachable_machine_is_released_only_after_several_probes) {
   auto& worker = send_heartbeat("m-1");
   worker.unreachable_since = net.now();
   send_heartbeats_for(seconds(40), {"m-1"});
-  EXPECT_FALSE(released("m-1")) << "it was not probed, so it isn't idle either";
+  EXPECT_FALSE(released("m-1")) << "it was not probed, so it does not count as idle";
   worker.unanswered_probes = 3;
   EXPECT_TRUE(released("m-1"));
 }
--- a/tests/scheduling_loop_test.cpp
+++ b/tests/scheduling_loop_test.cpp
@@ -1,4 +1,4 @@
-// When scheduling cycles begin.
+// Tests when scheduling cycles start.
 #include "leader/scheduling_loop.hpp"
 
 #include "leader_parts.hpp"
@@ -15,7 +15,7 @@
 };
 }  // namespace
 
-TEST_F(scheduling_loop_test, changes_that_come_together_are_seen_by_one_cycle) {
+TEST_F(scheduling_loop_test, simultaneous_changes_are_handled_by_one_cycle) {
   loop.request_cycle();
   loop.request_cycle();
   net.run_for(seconds(1));
@@ -25,7 +25,7 @@
   EXPECT_EQ(loop.cycles_finished(), 1U);
 }
 
-TEST_F(scheduling_loop_test, a_change_during_a_cycle_brings_another) {
+TEST_F(scheduling_loop_test, a_change_during_a_cycle_starts_another_cycle) {
   loop.request_cycle();
   net.run_for(milliseconds(11));
   ASSERT_EQ(loop.cycles_started(), 1U);
@@ -35,7 +35,7 @@
   EXPECT_EQ(executor.cycles, 2);
 }
 
-TEST_F(scheduling_loop_test, cycles_begin_no_sooner_than_the_pause_after_each_other) {
+TEST_F(scheduling_loop_test, cycles_start_no_sooner_than_the_minimum_interval_after_each_other) {
   for (int i = 0; i < 1000; ++i) {
     loop.request_cycle();
     net.run_for(milliseconds(1));
@@ -44,21 +44,21 @@
   EXPECT_LE(executor.cycles, 11);
 }
 
-TEST_F(scheduling_loop_test, nothing_is_scheduled_before_recovery) {
+TEST_F(scheduling_loop_test, no_cycle_starts_before_recovery) {
   recovered = false;
   loop.request_cycle();
   net.run_for(seconds(1));
   EXPECT_EQ(executor.cycles, 0);
 }
 
-TEST_F(scheduling_loop_test, nothing_is_scheduled_without_a_lease) {
+TEST_F(scheduling_loop_test, no_cycle_starts_without_a_valid_lease) {
   lease_valid = false;
   loop.request_cycle();
   net.run_for(seconds(1));
   EXPECT_EQ(executor.cycles, 0);
 }
 
-TEST_F(scheduling_loop_test, decisions_are_dropped_if_the_lease_ends_meanwhile) {
+TEST_F(scheduling_loop_test, decisions_are_dropped_if_the_lease_ends_during_the_cycle) {
   send_heartbeat("m-1");
   const auto& job = add_job("run-1", 1);
   executor.decisions.starts = {{"run-1", 0, "m-1"}};
--- a/tests/snapshot_builder_test.cpp
+++ b/tests/snapshot_builder_test.cpp
@@ -1,4 +1,4 @@
-// What a scheduling cycle is shown of jobs and machines.
+// Tests what the snapshot for a scheduling cycle contains.
 #include "leader/snapshot_builder.hpp"
 
 #include "job_builder.hpp"
@@ -9,12 +9,12 @@
 namespace {
 class snapshot_builder_test : public leader_parts {
  protected:
-  /// What the next cycle sees of the only job.
+  /// Returns the view of the only job in the next snapshot, or an empty view if it has none.
   admission::job_view view_of_job() {
     const auto snapshot = snapshots.build();
     return snapshot.jobs.empty() ? admission::job_view{} : *snapshot.jobs.front();
   }
-  /// Places the first attempt at task 0 of a job on m-1, which sends heartbeats.
+  /// Places the first attempt of task 0 of a job on machine m-1, which has sent a heartbeat.
   void place_task(job_store::job& job) {
     send_heartbeat("m-1");
     workers.place(job, 0, "m-1", attempt_number(1));
@@ -22,8 +22,8 @@
 };
 }  // namespace
 
-// What waits for other jobs holds nothing: neither variants nor quota nor room.
-TEST_F(snapshot_builder_test, leaves_out_jobs_that_wait_for_others) {
+// A job that waits for its dependencies must not occupy variants, quota or capacity.
+TEST_F(snapshot_builder_test, leaves_out_jobs_that_wait_for_dependencies) {
   add_job("run-1", 1).wait_for({"run-9"});
   add_job("run-2", 1);
   const auto snapshot = snapshots.build();
@@ -31,15 +31,16 @@
   EXPECT_EQ(snapshot.jobs.front()->id, "run-2");
 }
 
-TEST_F(snapshot_builder_test, shows_as_waiting_only_tasks_that_are_neither_done_nor_placed) {
+TEST_F(snapshot_builder_test, lists_as_waiting_only_tasks_that_are_neither_done_nor_placed) {
   auto& job = add_job("run-1", 4);
   place_task(job);
   job.finish_task(2);
   EXPECT_EQ(view_of_job().waiting, (std::vector<std::uint32_t>{1, 3}));
 }
 
-// Guards against: hundreds of tasks that all fail held room and images, time after time.
-TEST_F(snapshot_builder_test, shows_a_job_that_failed_everywhere_with_one_task) {
+// Guards against this failure: hundreds of failing tasks of one job repeatedly occupied capacity
+// and image caches.
+TEST_F(snapshot_builder_test, shows_one_waiting_task_of_a_job_that_failed_everywhere) {
   auto& job = add_job("run-1", 4);
   const job_store::failure_policy one_machine_is_enough{.machines = 1};
   ASSERT_EQ(job.record_failure("m-1", net.now(), one_machine_is_enough),
@@ -63,15 +64,16 @@
   EXPECT_TRUE(view_of_job().held_back);
 }
 
-TEST_F(snapshot_builder_test, shows_a_machine_that_goes_back_as_not_ready) {
+TEST_F(snapshot_builder_test, shows_a_machine_being_released_as_not_ready) {
   send_heartbeat("m-1");
   ASSERT_TRUE(snapshots.build().machines.front()->ready);
   machines.release("m-1", cloud::release_reason::idle);
   EXPECT_FALSE(snapshots.build().machines.front()->ready);
 }
 
-// Guards against: a leader rented in a zone where the new machines could not reach it either.
-TEST_F(snapshot_builder_test, refuses_the_pools_of_a_zone_that_is_cut_off) {
+// Guards against this failure: a leader rented machines in a partitioned zone, where the new
+// machines could not reach it either.
+TEST_F(snapshot_builder_test, lists_the_pools_of_a_partitioned_zone_as_refused) {
   zones.update({"a"});
   const std::set<admission::pool> both{{"g8", "a", false}, {"g8", "a", true}};
   EXPECT_EQ(snapshots.build().refused, both);
