--- a/src/leader/scale_in.hpp
+++ b/src/leader/scale_in.hpp
@@ -19,8 +19,8 @@
   scale_in(const term_context& context, const zone_health& zones,
            const decision_applier& decisions);
 
-  /// Checks all machines once and releases those that are no longer needed. The caller must hold a
-  /// valid leader lease.
+  /// Checks all machines once and releases those to which one of these conditions applies. The
+  /// caller must hold a valid leader lease.
   void release_machines();
 
  private:
--- a/src/leader/zone_health.hpp
+++ b/src/leader/zone_health.hpp
@@ -35,8 +35,8 @@
   /// workers exchange heartbeats with the delegate instead of this leader.
   void update(const std::set<zone_name>& delegate_zones);
   /// Reports whether a large part of the zone was recently unresponsive, that is, without a
-  /// heartbeat for half of heartbeat_timeout(), or whether the zone recently had an active
-  /// delegate.
+  /// heartbeat for more than half of heartbeat_timeout(), or whether the zone recently had an
+  /// active delegate.
   bool is_partitioned(const zone_name& zone) const;
   /// Reports whether the heartbeats of a large part of the zone were recently overdue at once.
   ///
@@ -64,9 +64,9 @@
   /// The number of a zone's machines that are up, and how many of these show each problem.
   struct machine_count {
     std::size_t total = 0;
-    std::size_t unresponsive = 0;
-    std::size_t overdue = 0;
-    std::size_t unreachable = 0;
+    std::size_t unresponsive = 0;  // no heartbeat for more than half of heartbeat_timeout()
+    std::size_t overdue = 0;       // no heartbeat for 1.5 heartbeat intervals
+    std::size_t unreachable = 0;   // do not receive the answers to their heartbeats
   };
   std::map<zone_name, machine_count> count_machines() const;
 
@@ -77,8 +77,9 @@
   const cloud::machine_inventory& machines_;
   const time_point term_start_;
   std::set<zone_name> mostly_unreachable_zones_;
-  std::map<zone_name, time_point> last_partitioned_;     // when each zone was last partitioned
-  std::map<zone_name, time_point> last_mostly_overdue_;  // when each zone was last mostly overdue
+  std::map<zone_name, time_point> last_partitioned_;  // time of the last update() that found it so
+  std::map<zone_name, time_point>
+      last_mostly_overdue_;  // time of the last update() that found it so
 };
 
 }  // namespace gingerdrift::leader
