--- a/tests/leader_parts.hpp
+++ b/tests/leader_parts.hpp
@@ -16,7 +16,7 @@
 
 namespace gingerdrift::testing {
 
-/// Counts scheduling cycles and returns the decisions that the test prepared, 2 ms later.
+/// Counts scheduling cycles and returns the decisions prepared by the test after 2 ms.
 class scripted_executor final : public leader::scheduling_executor {
  public:
   explicit scripted_executor(net::runtime& runtime) : runtime_(runtime) {}
@@ -35,8 +35,8 @@
   net::runtime& runtime_;
 };
 
-/// The leader's state and the parts that tests of other parts need, in virtual time: one team, one
-/// machine type, no cloud.
+/// Fixture with the leader's state and the components that the tested component depends on. Runs in
+/// virtual time, with one team, one machine type and no cloud service.
 class leader_parts : public ::testing::Test, private dependencies::tracker_owner {
  protected:
   static constexpr fencing_token token{1};
@@ -61,7 +61,7 @@
     out.teams = {{.name = "red"}};
     return out;
   }
-  /// The next heartbeat of a machine, without tasks.
+  /// Returns the next heartbeat of a machine, without tasks.
   workers::worker_heartbeat heartbeat(const machine_name& machine, const zone_name& zone = "a",
                                       bool spot = false) {
     workers::worker_heartbeat out;
@@ -73,18 +73,19 @@
     out.token = token;
     return out;
   }
-  workers::worker& hear(const machine_name& machine, const zone_name& zone = "a",
-                        bool spot = false) {
+  /// Delivers the next heartbeat of a machine, without tasks, and returns the machine's worker.
+  workers::worker& send_heartbeat(const machine_name& machine, const zone_name& zone = "a",
+                                  bool spot = false) {
     const auto next = heartbeat(machine, zone, spot);
     machines.heartbeat_received(machine, next.pool);
     workers.handle(next);
     return *workers.find(machine);
   }
-  /// Time passes, while these machines send a heartbeat each second.
-  void hear_for(seconds span, const std::vector<machine_name>& names) {
+  /// Advances the time by `span`, while each of these machines sends a heartbeat every second.
+  void send_heartbeats_for(seconds span, const std::vector<machine_name>& names) {
     for (seconds passed(0); passed < span; passed += seconds(1)) {
       net.run_for(seconds(1));
-      for (const auto& name : names) hear(name);
+      for (const auto& name : names) send_heartbeat(name);
     }
   }
   static job_store::job_spec spec_of(const job_id& id, std::uint32_t tasks, bool gang = false) {
@@ -95,11 +96,11 @@
     spec.gang = gang;
     return spec;
   }
-  static job_store::job job_announced(const job_id& id, std::uint32_t tasks, bool gang = false) {
+  static job_store::job new_job(const job_id& id, std::uint32_t tasks, bool gang = false) {
     return {spec_of(id, tasks, gang), 0};
   }
   job_store::job& add_job(const job_id& id, std::uint32_t tasks, bool gang = false) {
-    return jobs.insert(job_announced(id, tasks, gang));
+    return jobs.insert(new_job(id, tasks, gang));
   }
   void store_record(const std::string& key, const kvstore::json& value) {
     store.txn({}, {{key, value, 0, false}}, [](const kvstore::result&) {});
@@ -108,7 +109,7 @@
 
   const kvstore::service_limits wide_limits{1000, 500, 8, 24};
   const config::platform_settings platform = settings();
-  const config::operator_settings rules;
+  const config::operator_settings operator_settings;
   bool lease_valid = true;
   bool recovered = true;
   sim_net net{1};
@@ -145,25 +146,25 @@
        .allowance = [](const zone_name&) { return duration::zero(); }}};
   const leader::term_context context{.runtime = runtime,
                                      .platform = platform,
-                                     .rules = rules,
-                                     .measured = measured,
+                                     .operator_settings = operator_settings,
+                                     .controller_metrics = measured,
                                      .token = token,
                                      .jobs = jobs,
                                      .dependencies = dependencies,
                                      .workers = workers,
                                      .machines = machines};
-  leader::zone_health zones{runtime, platform, rules, workers, machines};
+  leader::zone_health zones{runtime, platform, operator_settings, workers, machines};
   leader::decision_applier decisions{jobs, workers, machines, measured, token};
   leader::snapshot_builder snapshots{context, zones};
   scripted_executor executor{runtime};
-  std::function<void()> on_cycle_done = [] {};
+  std::function<void()> on_cycle_finished = [] {};
   leader::scheduling_loop loop{context,
                                executor,
                                snapshots,
                                decisions,
                                {.lease_valid = [this] { return lease_valid; },
-                                .recovered = [this] { return recovered; },
-                                .cycle_done = [this] { on_cycle_done(); }}};
+                                .is_recovered = [this] { return recovered; },
+                                .cycle_finished = [this] { on_cycle_finished(); }}};
 
  private:
   void take_job(const kvstore::entry&, time_point) override {}
