--- a/src/daemon/controller.cpp
+++ b/src/daemon/controller.cpp
@@ -203,7 +203,7 @@
   return runtime_.now() - store_.last_answer() < store_patience;
 }
 
-void controller::handle_front(const net::request& message, const net::reply_fn& reply) {
+void controller::handle_public_request(const net::request& message, const net::reply_fn& reply) {
   if (message.target == "/v1/report") {
     heartbeats_.handle(message, reply);
     return;
@@ -213,7 +213,7 @@
   api_.handle(message, false, reply);
 }
 
-void controller::handle_mesh(const net::request& message, const net::reply_fn& reply) {
+void controller::handle_peer_request(const net::request& message, const net::reply_fn& reply) {
   const stopwatch watch(metrics_.peer_request_time);
   peers_.handle(message, reply);
 }
--- a/src/daemon/controller.hpp
+++ b/src/daemon/controller.hpp
@@ -33,9 +33,9 @@
   /// Begins with everything that is done periodically; to be called once.
   void start();
   /// Handles requests of users, workers and health checks.
-  void handle_front(const net::request& message, const net::reply_fn& reply);
+  void handle_public_request(const net::request& message, const net::reply_fn& reply);
   /// Handles requests of the other controllers.
-  void handle_mesh(const net::request& message, const net::reply_fn& reply);
+  void handle_peer_request(const net::request& message, const net::reply_fn& reply);
   /// Whether it holds the leader's lease and has read all records.
   bool is_leader() const override { return elector_.lease_valid() && term_ && term_->ready(); }
 
--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -71,11 +71,11 @@
   daemon::controller controller(runtime, executor, platform, rules, random_seed());
   net::http_server front(runtime, front_limits(connections),
                          [&](const net::request& message, const net::reply_fn& reply) {
-                           controller.handle_front(message, reply);
+                           controller.handle_public_request(message, reply);
                          });
   net::http_server peer_server(runtime, peer_limits(connections),
                                [&](const net::request& message, const net::reply_fn& reply) {
-                                 controller.handle_mesh(message, reply);
+                                 controller.handle_peer_request(message, reply);
                                });
   for (const auto& failure :
        {front.listen(platform.listen), peer_server.listen(platform.peer_listen)}) {
--- a/tests/support/sim_service.cpp
+++ b/tests/support/sim_service.cpp
@@ -211,11 +211,11 @@
   const std::string host = own.node.str();
   net.serve(host, front_address_of(host),
             [controller](const net::request& message, const net::reply_fn& reply) {
-              controller->handle_front(message, reply);
+              controller->handle_public_request(message, reply);
             });
   net.serve(host, peer_address_of(host),
             [controller](const net::request& message, const net::reply_fn& reply) {
-              controller->handle_mesh(message, reply);
+              controller->handle_peer_request(message, reply);
             });
   controller->start();
 }
