--- a/src/leadership/leader_elector.cpp
+++ b/src/leadership/leader_elector.cpp
@@ -11,47 +11,52 @@
 namespace {
 const char* const token_key = "gd/token";
 constexpr auto watch_duration = seconds(8);
-/// After a failed call; as much again at random, so that candidates don't stay in step.
-constexpr auto fetch_retry = milliseconds(200);
-/// While this node backs off and nobody else has become leader yet.
-constexpr auto back_off_poll = milliseconds(300);
-/// A renewal that the store refused for its rate is tried again so soon: a takeover by thousands of
-/// workers and users must not cost the lease that was just won.
-constexpr auto refused_retry = milliseconds(200);
-/// The steady clocks of two machines drift apart by 0.05% at most; some slack for timers on top.
-constexpr double clock_drift = 0.001;
+/// Least delay before a failed request is repeated. A random delay of up to the same length is
+/// added, so that the candidates do not all campaign at the same moment.
+constexpr auto fetch_retry_delay = milliseconds(200);
+/// How often the leader key is read while this node backs off and no other node has become leader.
+constexpr auto back_off_poll_period = milliseconds(300);
+/// Delay before a renewal that the store refused with 429 (rate limit exceeded) is repeated. After
+/// a failover, thousands of workers and users turn to the new leader at once; the load must not
+/// make it lose the lease that it has just acquired.
+constexpr auto throttled_renewal_retry_delay = milliseconds(200);
+/// Relative allowance for clock drift: the steady clocks of two machines drift apart by 0.05% at
+/// most; the rest and `lease_margin` allow for timers that fire late.
+constexpr double clock_drift_allowance = 0.001;
 constexpr auto lease_margin = milliseconds(100);
-/// A lease is renewed so many times in its duration.
+/// Number of renewals that are sent during one lease duration.
 constexpr int renewals_per_lease = 5;
 constexpr int status_not_found = 404;
 constexpr int status_too_many_requests = 429;
 }  // namespace
 
 leader_elector::leader_elector(net::runtime& runtime, kvstore::client& store, options options,
-                               std::uint64_t seed, callbacks owner)
+                               std::uint64_t seed, callbacks owner_callbacks)
     : runtime_(runtime),
       store_(store),
       options_(std::move(options)),
-      callbacks_(std::move(owner)),
+      callbacks_(std::move(owner_callbacks)),
       random_(seed),
       incarnation_(std::to_string(random_())),
       fetch_timer_(runtime),
       renewal_timer_(runtime),
       retry_timer_(runtime) {}
 
-duration leader_elector::jitter(duration most) {
-  std::uniform_real_distribution<double> spread(0.0, to_seconds(most));
+duration leader_elector::jitter(duration max_delay) {
+  std::uniform_real_distribution<double> spread(0.0, to_seconds(max_delay));
   return from_seconds(spread(random_));
 }
 
-duration leader_elector::retry_delay() { return fetch_retry + jitter(fetch_retry); }
+duration leader_elector::retry_delay() { return fetch_retry_delay + jitter(fetch_retry_delay); }
 
 void leader_elector::start() { fetch_leader(); }
 
-bool leader_elector::lease_valid() const { return is_leader_ && runtime_.now() < valid_until_; }
+bool leader_elector::lease_valid() const {
+  return is_leader_ && runtime_.now() < lease_valid_until_;
+}
 
 bool leader_elector::may_renew_worker_leases() const {
-  return is_leader_ && runtime_.now() < valid_until_ + options_.renewal_grace;
+  return is_leader_ && runtime_.now() < lease_valid_until_ + options_.renewal_grace;
 }
 
 void leader_elector::fetch_leader_after(duration delay) {
@@ -69,37 +74,38 @@
   if (answer.status == status_not_found) {
     leader_.node = {};
     if (runtime_.now() < back_off_until_) {
-      fetch_leader_after(back_off_poll);
+      fetch_leader_after(back_off_poll_period);
     } else {
       campaign(store_revision());
     }
   } else if (!answer.ok() || answer.entries.empty()) {
     fetch_leader_after(retry_delay());
   } else {
-    follow(answer.entries.front());
+    handle_leader_record(answer.entries.front());
   }
 }
 
-void leader_elector::follow(const kvstore::entry& record) {
-  const auto incarnation = read_leader(record.value);
+void leader_elector::handle_leader_record(const kvstore::entry& record) {
+  const auto incarnation = update_known_leader(record.value);
   if (!incarnation || leader_.node != options_.node) {
     watch_leader(record.version);
     return;
   }
   leader_.node = {};
   if (*incarnation != incarnation_) {
-    // This node's former process held it; that process has ended, since one runs per node. Taking
-    // its key over at once saves waiting for its lease to expire.
+    // A former process of this node wrote the key. That process has ended, since a node runs only
+    // one. Overwriting the key at once avoids waiting for its lease to expire.
     campaign(record.version);
   } else {
-    // A campaign of this process that went unanswered was applied late. Its lease is not renewed.
-    fetch_leader_after(fetch_retry);
+    // The store applied a campaign of this process after the request had already timed out. The
+    // lease of that campaign is not renewed, so the key disappears when the lease expires.
+    fetch_leader_after(fetch_retry_delay);
   }
 }
 
-/// Notes who is leader. Returns the incarnation of that process, or nothing if the record is
-/// malformed.
-std::optional<std::string> leader_elector::read_leader(const kvstore::json& record) {
+/// Updates the known leader from the value of the leader key. Returns the incarnation of the
+/// process that wrote it, or nothing if the value is malformed.
+std::optional<std::string> leader_elector::update_known_leader(const kvstore::json& record) {
   try {
     leader_.node = node_name(record.at("node").get<std::string>());
     leader_.token = fencing_token(record.at("token").get<std::uint64_t>());
@@ -114,91 +120,97 @@
   store_.watch(leader_key, from, watch_duration,
                guard_.wrap([this](const kvstore::result& changes) {
                  if (is_leader_) return;
-                 // Whatever the watch brought is read anew: it may be old.
+                 // The reported change may already be outdated, so the key is read again.
                  const bool changed = changes.ok() && !changes.entries.empty();
                  fetch_leader_after(changed ? jitter(milliseconds(30))
                                             : milliseconds(50) + jitter(milliseconds(100)));
                }));
 }
 
-/// Tries to become leader. `stale_version`: of a leader key that may be overwritten; none if it is
-/// absent.
-void leader_elector::campaign(store_revision stale_version) {
-  store_.grant(options_.lease, guard_.wrap([this, stale_version](const kvstore::result& granted) {
-    if (is_leader_) return;
-    if (granted.ok() && granted.lease != 0) {
-      fetch_token(granted.lease, granted.sent, stale_version);
-    } else {
-      fetch_leader_after(retry_delay());
-    }
-  }));
+/// Starts an attempt to become leader by acquiring a lease. `expected_leader_version` is the
+/// version of an outdated leader key that may be overwritten, or 0 if the key has to be absent.
+void leader_elector::campaign(store_revision expected_leader_version) {
+  store_.grant(options_.lease_duration,
+               guard_.wrap([this, expected_leader_version](const kvstore::result& granted) {
+                 if (is_leader_) return;
+                 if (granted.ok() && granted.lease != 0) {
+                   fetch_token(granted.lease, granted.sent, expected_leader_version);
+                 } else {
+                   fetch_leader_after(retry_delay());
+                 }
+               }));
 }
 
-void leader_elector::fetch_token(std::uint64_t lease, time_point lease_sent,
-                                 store_revision stale_version) {
-  const auto token_fetched = [this, lease, lease_sent,
-                              stale_version](const kvstore::result& current) {
+void leader_elector::fetch_token(std::uint64_t lease_id, time_point lease_requested_at,
+                                 store_revision expected_leader_version) {
+  const auto token_fetched = [this, lease_id, lease_requested_at,
+                              expected_leader_version](const kvstore::result& current) {
     if (is_leader_) return;
-    candidacy next = {.lease = lease,
-                      .lease_sent = lease_sent,
-                      .stale_version = stale_version,
-                      .token = fencing_token(1),
-                      .token_version = {}};
+    leadership_claim claim = {.lease_id = lease_id,
+                              .lease_requested_at = lease_requested_at,
+                              .expected_leader_version = expected_leader_version,
+                              .token = fencing_token(1),
+                              .expected_token_version = {}};
     if (current.ok() && !current.entries.empty()) {
       const auto& record = current.entries.front();
-      next.token = fencing_token(kvstore::number_field(record.value, "token")).next();
-      next.token_version = record.version;
+      claim.token = fencing_token(kvstore::number_field(record.value, "token")).next();
+      claim.expected_token_version = record.version;
     } else if (current.status != status_not_found) {
-      abandon(lease);
+      release_lease(lease_id);
       fetch_leader_after(retry_delay());
       return;
     }
-    acquire(next);
+    acquire_leadership(claim);
   };
   store_.get(token_key, guard_.wrap(token_fetched));
 }
 
-void leader_elector::acquire(const candidacy& bid) {
+void leader_elector::acquire_leadership(const leadership_claim& claim) {
   const kvstore::json record = {
-      {"node", options_.node.str()}, {"token", bid.token.value()}, {"incarnation", incarnation_}};
-  store_.txn({{leader_key, bid.stale_version}, {token_key, bid.token_version}},
-             {{leader_key, record, bid.lease, false},
-              {token_key, {{"token", bid.token.value()}}, 0, false}},
-             guard_.wrap([this, bid](const kvstore::result& answer) {
-               if (is_leader_) return;
-               if (answer.ok()) {
-                 become_leader(bid, answer.revision);
-                 return;
-               }
-               // It may still be applied: without its lease it can't be, or won't last.
-               abandon(bid.lease);
-               fetch_leader_after(milliseconds(50) + jitter(milliseconds(150)));
-             }));
+      {"node", options_.node.str()}, {"token", claim.token.value()}, {"incarnation", incarnation_}};
+  store_.txn(
+      {{leader_key, claim.expected_leader_version}, {token_key, claim.expected_token_version}},
+      {{leader_key, record, claim.lease_id, false},
+       {token_key, {{"token", claim.token.value()}}, 0, false}},
+      guard_.wrap([this, claim](const kvstore::result& answer) {
+        if (is_leader_) return;
+        if (answer.ok()) {
+          become_leader(claim, answer.revision);
+          return;
+        }
+        // If the request timed out, the store may still apply it. Once the lease is released,
+        // the transaction is refused or its leader key is deleted.
+        release_lease(claim.lease_id);
+        fetch_leader_after(milliseconds(50) + jitter(milliseconds(150)));
+      }));
 }
 
-void leader_elector::become_leader(const candidacy& bid, store_revision leader_version) {
+void leader_elector::become_leader(const leadership_claim& claim, store_revision leader_version) {
   is_leader_ = true;
-  ++term_;
-  token_ = bid.token;
-  lease_ = bid.lease;
+  ++term_count_;
+  token_ = claim.token;
+  lease_id_ = claim.lease_id;
   leader_ = {options_.node, token_};
-  valid_until_ = lease_end(bid.lease_sent);
-  spdlog::info("leader_elected term={} lease={}", token_, lease_);
+  lease_valid_until_ = lease_end(claim.lease_requested_at);
+  spdlog::info("leader_elected term={} lease={}", token_, lease_id_);
   schedule_renewal();
   callbacks_.elected(token_, {leader_key, leader_version});
 }
 
-void leader_elector::abandon(std::uint64_t lease) {
-  store_.drop(lease, [](const kvstore::result&) {});
+void leader_elector::release_lease(std::uint64_t lease_id) {
+  store_.drop(lease_id, [](const kvstore::result&) {});
 }
 
-/// Until when a lease is surely held that was granted or renewed by a request sent at that time.
-time_point leader_elector::lease_end(time_point sent) const {
-  return sent + from_seconds(to_seconds(options_.lease) * (1 - clock_drift)) - lease_margin;
+/// Returns the time until which a lease is certain to be held if the request that granted or
+/// renewed it was sent at `requested_at`.
+time_point leader_elector::lease_end(time_point requested_at) const {
+  return requested_at +
+         from_seconds(to_seconds(options_.lease_duration) * (1 - clock_drift_allowance)) -
+         lease_margin;
 }
 
 void leader_elector::schedule_renewal() {
-  const duration period = options_.lease / renewals_per_lease;
+  const duration period = options_.lease_duration / renewals_per_lease;
   renewal_timer_.start(period, [this, period] {
     if (!may_renew_worker_leases()) {
       step_down(step_down_reason::store_unreachable);
@@ -210,29 +222,29 @@
 }
 
 void leader_elector::renew(duration deadline) {
-  store_.renew(lease_, deadline,
-               guard_.wrap([this, deadline, term = term_](const kvstore::result& answer) {
-                 if (is_leader_ && term == term_) renewal_answered(answer, deadline);
+  store_.renew(lease_id_, deadline,
+               guard_.wrap([this, deadline, term = term_count_](const kvstore::result& answer) {
+                 if (is_leader_ && term == term_count_) renewal_answered(answer, deadline);
                }));
 }
 
 void leader_elector::renewal_answered(const kvstore::result& answer, duration deadline) {
-  if (answer.ok()) return renewed(answer.sent);
+  if (answer.ok()) return extend_lease(answer.sent);
   if (answer.status == status_not_found) return step_down(step_down_reason::lease_expired);
   if (lease_valid())
     spdlog::info("leader_lease_not_renewed term={} status={}", token_, answer.status);
   if (answer.status != status_too_many_requests || retry_timer_.armed()) return;
-  retry_timer_.start(refused_retry, [this, deadline] { renew(deadline); });
+  retry_timer_.start(throttled_renewal_retry_delay, [this, deadline] { renew(deadline); });
 }
 
-/// Counts from when the renewal was sent.
-void leader_elector::renewed(time_point sent) {
+/// Extends the lease after a successful renewal that was sent at `requested_at`.
+void leader_elector::extend_lease(time_point requested_at) {
   const bool was_valid = lease_valid();
-  valid_until_ = std::max(valid_until_, lease_end(sent));
+  lease_valid_until_ = std::max(lease_valid_until_, lease_end(requested_at));
   if (!was_valid && lease_valid()) spdlog::info("leader_lease_recovered term={}", token_);
 }
 
-void leader_elector::superseded() { step_down(step_down_reason::leader_key_lost); }
+void leader_elector::handle_leader_key_loss() { step_down(step_down_reason::leader_key_lost); }
 
 void leader_elector::observe_leader(const node_name& node, fencing_token token) {
   if (node == options_.node) return;
@@ -248,22 +260,22 @@
 void leader_elector::yield_leadership(duration back_off) {
   if (!is_leader_) return;
   back_off_until_ = runtime_.now() + back_off;
-  abandon(lease_);
-  step_down(step_down_reason::resigned);
+  release_lease(lease_id_);
+  step_down(step_down_reason::unreachable_for_workers);
 }
 
 void leader_elector::step_down(step_down_reason reason) {
   if (!is_leader_) return;
-  spdlog::info("leader_stepped_down term={} reason={}", token_, text_of(reason));
+  spdlog::info("leader_stepped_down term={} reason={}", token_, log_value(reason));
   is_leader_ = false;
   leader_.node = {};
   renewal_timer_.cancel();
   retry_timer_.cancel();
-  callbacks_.deposed();
+  callbacks_.stepped_down();
   fetch_leader_after(milliseconds(50) + jitter(milliseconds(150)));
 }
 
-const char* leader_elector::text_of(step_down_reason reason) {
+const char* leader_elector::log_value(step_down_reason reason) {
   switch (reason) {
     case step_down_reason::store_unreachable:
       return "store_out_of_reach";
@@ -273,7 +285,7 @@
       return "leader_key_lost";
     case step_down_reason::successor_known:
       return "successor_seen_by_peer";
-    case step_down_reason::resigned:
+    case step_down_reason::unreachable_for_workers:
       break;
   }
   return "unreachable_for_workers";
--- a/src/leadership/leader_elector.hpp
+++ b/src/leadership/leader_elector.hpp
@@ -13,64 +13,74 @@
 
 namespace gingerdrift::leadership {
 
-/// The key that the leader's lease holds.
+/// Store key that names the current leader. The key is attached to the leader's lease, so the store
+/// deletes it when that lease ends.
 extern const char* const leader_key;
 
-/// What is known of the leader, by any controller.
+/// The leader as far as this controller knows, whether that is itself or another controller.
 struct known_leader {
-  node_name node;  // empty: nobody known
+  node_name node;  // empty if no leader is known
   fencing_token token;
 };
 
-/// Settings of an elector.
+/// Settings of a `leader_elector`.
 struct options {
-  node_name node;
-  duration lease = seconds(4);
-  /// How long after the end of its lease a leader cut off from the store may still renew workers'
-  /// leases: any longer, and a task could outlast a successor's cancellation.
+  node_name node;  // this controller
+  duration lease_duration = seconds(4);
+  /// How long a leader that can't reach the store may still renew workers' leases after its own
+  /// lease has ended. A longer time would let a task run past the moment by which a cancellation
+  /// accepted by a successor has to be carried out.
   duration renewal_grace = seconds(10);
 };
 
-/// Elects a leader by a key attached to a lease of the store, and keeps that lease.
+/// Takes part in leader elections and maintains the leader's lease while this controller leads.
 ///
-/// Acquiring the key raises the fencing token in the same transaction, so that tokens rise from
-/// leader to leader. The lease counts from when its renewal was sent, less clock drift: two leaders
-/// are never valid at once.
+/// The leader is the controller whose name is stored under `leader_key`, which is attached to a
+/// lease of the store. The transaction that writes the key also increments the fencing token, so
+/// each leader has a higher token than the one before. A lease is counted from the moment at which
+/// its grant or renewal was sent, with an allowance for clock drift, so `lease_valid()` is never
+/// true on two controllers at once. Not thread-safe: all calls and callbacks run on the thread of
+/// the runtime.
 class leader_elector {
  public:
-  /// What the elector tells its owner.
+  /// Notifications to the owner.
   struct callbacks {
-    /// This node is leader. The token is in force; the condition is to go with every transaction of
-    /// the term.
+    /// This node has become leader. `token` is the fencing token of the new term; `leader` is the
+    /// condition on the leader key that every transaction of the term has to include.
     std::function<void(fencing_token token, kvstore::condition leader)> elected;
-    /// This node no longer is.
-    std::function<void()> deposed;
+    /// This node has ceased to be leader.
+    std::function<void()> stepped_down;
   };
-  /// `seed`: of the random delays, and of the name of this process's incarnation.
+  /// `seed` initializes the generator of random delays and of this process's incarnation
+  /// identifier.
   leader_elector(net::runtime& runtime, kvstore::client& store, options options, std::uint64_t seed,
-                 callbacks owner);
+                 callbacks owner_callbacks);
   leader_elector(const leader_elector&) = delete;
   leader_elector& operator=(const leader_elector&) = delete;
 
-  /// Begins to look for a leader, and to campaign while there is none; to be called once.
+  /// Starts to follow the leader key and to campaign whenever there is no leader. Must be called
+  /// only once.
   void start();
-  /// Whether it is leader, with a lease that is surely held: may answer from memory and start work.
+  /// Reports whether this node is leader and its lease is certain not to have expired. Only then
+  /// may it answer requests from memory and start tasks.
   bool lease_valid() const;
-  /// Whether it is leader and, if out of reach of the store, for so short a time only that renewing
-  /// workers' leases is safe.
+  /// Reports whether this node is leader and may renew workers' leases: its own lease is valid or
+  /// ended at most `options::renewal_grace` ago.
   bool may_renew_worker_leases() const;
-  /// Whether it is leader, its lease held or not.
+  /// Reports whether this node is leader, even if its lease may have expired.
   bool is_leader() const { return is_leader_; }
-  /// Of the current term of this process, or of its last one.
+  /// Returns the fencing token of this process's current term, or of its last one.
   fencing_token token() const { return token_; }
-  /// The leader as this controller knows it, from the store or from a peer.
+  /// Returns the leader as last read from the store or reported by a peer.
   const known_leader& leader() const { return leader_; }
-  /// Steps down, for a leader that workers can't reach, and backs off from elections for a while.
+  /// Steps down because workers can't reach this node, and does not campaign again for `back_off`.
   void yield_leadership(duration back_off);
-  /// A transaction showed that the leader key is another's.
-  void superseded();
-  /// A peer knows of a leader. A leader cut off from the store alone learns so of its successor,
-  /// and sends the workers there instead of keeping them from it.
+  /// Steps down because a transaction showed that the leader key belongs to another controller.
+  void handle_leader_key_loss();
+  /// Records a leader reported by a peer if its token is newer than that of the leader known here.
+  /// A leader that has lost its connection to the store, but not to its peers, learns of its
+  /// successor in this way: it steps down and redirects workers to the successor instead of
+  /// continuing to answer them.
   void observe_leader(const node_name& node, fencing_token token);
 
  private:
@@ -79,36 +89,37 @@
     lease_expired,
     leader_key_lost,
     successor_known,
-    resigned,
+    unreachable_for_workers,
   };
-  static const char* text_of(step_down_reason reason);
+  static const char* log_value(step_down_reason reason);
 
   void fetch_leader();
   void fetch_leader_after(duration delay);
   void leader_fetched(const kvstore::result& answer);
-  void follow(const kvstore::entry& record);
-  std::optional<std::string> read_leader(const kvstore::json& record);
+  void handle_leader_record(const kvstore::entry& record);
+  std::optional<std::string> update_known_leader(const kvstore::json& record);
   void watch_leader(store_revision from);
-  void campaign(store_revision stale_version);
-  void fetch_token(std::uint64_t lease, time_point lease_sent, store_revision stale_version);
-  /// What a transaction that acquires leadership rests on.
-  struct candidacy {
-    std::uint64_t lease = 0;
-    time_point lease_sent;         // when the lease was asked for
-    store_revision stale_version;  // of the leader key, which has to be absent or as stale as that
-    fencing_token token;           // the new one
-    store_revision token_version;  // of the token's key, as it was read
+  void campaign(store_revision expected_leader_version);
+  void fetch_token(std::uint64_t lease_id, time_point lease_requested_at,
+                   store_revision expected_leader_version);
+  /// Contents and preconditions of the transaction that makes this node leader.
+  struct leadership_claim {
+    std::uint64_t lease_id = 0;
+    time_point lease_requested_at;           // when the request for the lease was sent
+    store_revision expected_leader_version;  // of the leader key; 0 if the key must not exist
+    fencing_token token;                     // fencing token of the new term
+    store_revision expected_token_version;   // of the token key; 0 if the key must not exist
   };
-  void acquire(const candidacy& bid);
-  void become_leader(const candidacy& bid, store_revision leader_version);
-  void abandon(std::uint64_t lease);
-  time_point lease_end(time_point sent) const;
+  void acquire_leadership(const leadership_claim& claim);
+  void become_leader(const leadership_claim& claim, store_revision leader_version);
+  void release_lease(std::uint64_t lease_id);
+  time_point lease_end(time_point requested_at) const;
   void schedule_renewal();
   void renew(duration deadline);
   void renewal_answered(const kvstore::result& answer, duration deadline);
-  void renewed(time_point sent);
+  void extend_lease(time_point requested_at);
   void step_down(step_down_reason reason);
-  duration jitter(duration most);
+  duration jitter(duration max_delay);
   duration retry_delay();
 
   net::runtime& runtime_;
@@ -116,14 +127,14 @@
   options options_;
   callbacks callbacks_;
   std::mt19937_64 random_;
-  std::string incarnation_;
+  std::string incarnation_;  // random identifier of this process
   known_leader leader_;
   bool is_leader_ = false;
   fencing_token token_;
-  std::uint64_t lease_ = 0;
-  time_point valid_until_{};
-  time_point back_off_until_{};
-  std::uint64_t term_ = 0;  // counts this process's own terms: answers of earlier ones don't count
+  std::uint64_t lease_id_ = 0;
+  time_point lease_valid_until_{};
+  time_point back_off_until_{};   // before this time an absent leader key is left to other nodes
+  std::uint64_t term_count_ = 0;  // terms led by this process; identifies outdated renewal answers
   net::timer fetch_timer_;
   net::timer renewal_timer_;
   net::timer retry_timer_;
