--- a/src/daemon/controller.cpp
+++ b/src/daemon/controller.cpp
@@ -8,42 +8,47 @@
 namespace gingerdrift::daemon {
 
 namespace {
-/// How long the store may answer nothing before this node counts as cut off from it.
-constexpr auto store_patience = seconds(2);
+/// The store counts as unreachable if requests fail and the last answer is at least this old.
+constexpr auto store_timeout = seconds(2);
+/// How long a request forwarded to another controller may remain unanswered.
 constexpr auto forward_deadline = milliseconds(1200);
-/// Of the state service's limits, what one controller may take. Two or three share them, and the
-/// leader does most of the writing.
+/// Shares of the state service's rate limits that one controller may use. Two or three controllers
+/// share these limits, and the leader does most of the writing.
 constexpr double request_share = 0.45;
 constexpr double leader_write_share = 0.75;
-constexpr double write_share = 0.4;
-/// Of the requests, what all controllers together may spend on users' questions.
-constexpr double user_share = 0.5;
-
-kvstore::limit_shares store_shares(const config::platform_settings& platform) {
-  const auto controllers = static_cast<double>(platform.peers.size() + 1);
-  return {
-      .requests = request_share, .writes = write_share, .user_requests = user_share / controllers};
+constexpr double non_leader_write_share = 0.4;
+/// Share of the request rate that all controllers together may use to answer users' queries.
+constexpr double total_user_request_share = 0.5;
+
+kvstore::limit_shares store_shares(const config::platform_settings& platform_settings) {
+  const auto controllers = static_cast<double>(platform_settings.peers.size() + 1);
+  return {.requests = request_share,
+          .writes = non_leader_write_share,
+          .user_requests = total_user_request_share / controllers};
 }
 }  // namespace
 
 controller::controller(net::runtime& runtime, leader::scheduling_executor& executor,
-                       config::platform_settings platform, config::operator_settings rules,
-                       std::uint64_t seed)
+                       config::platform_settings platform_settings,
+                       config::operator_settings operator_settings, std::uint64_t seed)
     : runtime_(runtime),
       executor_(executor),
-      platform_(std::move(platform)),
-      rules_(std::move(rules)),
-      store_(runtime, platform_.state, platform_.state_limits, platform_.announced_state_limits,
-             store_shares(platform_)),
-      api_(runtime, store_, api_options(), platform_.teams, *this),
-      peers_(runtime, platform_.node, peer_addresses(), peer_callbacks()),
+      platform_settings_(std::move(platform_settings)),
+      operator_settings_(std::move(operator_settings)),
+      store_(runtime, platform_settings_.state, platform_settings_.state_limits,
+             platform_settings_.announced_state_limits, store_shares(platform_settings_)),
+      api_(runtime, store_, api_options(), platform_settings_.teams, *this),
+      peers_(runtime, platform_settings_.node, peer_addresses(), peer_callbacks()),
       elector_(runtime, store_, elector_options(), seed, elector_callbacks()),
-      delegate_(runtime, store_, {platform_.node, platform_.zone, leader::renewal_grace(platform_)},
+      delegate_(runtime, store_,
+                {platform_settings_.node, platform_settings_.zone,
+                 leader::renewal_grace(platform_settings_)},
                 delegate_callbacks()),
-      versions_(runtime, store_, platform_.node, all_nodes()),
-      machine_types_(runtime, store_, platform_.cloud),
-      heartbeats_(runtime, platform_, elector_, delegate_, metrics_, router_callbacks()),
-      watchdog_(runtime, platform_.report, peers_, elector_,
+      versions_(runtime, store_, platform_settings_.node, all_nodes()),
+      machine_types_(runtime, store_, platform_settings_.cloud),
+      heartbeat_router_(runtime, platform_settings_, elector_, delegate_, metrics_,
+                        router_callbacks()),
+      watchdog_(runtime, platform_settings_.report, peers_, elector_,
                 [this] { return is_leader() ? term_.get() : nullptr; }),
       status_logger_(runtime, status_callbacks()) {}
 
@@ -60,30 +65,30 @@
 }
 
 api::options controller::api_options() const {
-  const auto sizes =
-      kvstore::writable_sizes(platform_.state_limits, platform_.announced_state_limits);
-  return {.submissions = {rules_.waiting_submissions, sizes},
-          .final_cache = rules_.final_cache,
-          .cancellation = leader::acknowledgement_of_cancellations(platform_),
-          .node = platform_.node};
+  const auto sizes = kvstore::writable_sizes(platform_settings_.state_limits,
+                                             platform_settings_.announced_state_limits);
+  return {.submissions = {operator_settings_.waiting_submissions, sizes},
+          .final_cache = operator_settings_.final_cache,
+          .cancellation = leader::acknowledgement_of_cancellations(platform_settings_),
+          .node = platform_settings_.node};
 }
 
 std::map<node_name, std::string> controller::peer_addresses() const {
   std::map<node_name, std::string> addresses;
-  for (const auto& peer : platform_.peers) addresses[peer.node] = peer.address;
+  for (const auto& peer : platform_settings_.peers) addresses[peer.node] = peer.address;
   return addresses;
 }
 
 std::vector<node_name> controller::all_nodes() const {
-  std::vector<node_name> nodes = {platform_.node};
-  for (const auto& peer : platform_.peers) nodes.push_back(peer.node);
+  std::vector<node_name> nodes = {platform_settings_.node};
+  for (const auto& peer : platform_settings_.peers) nodes.push_back(peer.node);
   return nodes;
 }
 
 leadership::options controller::elector_options() const {
-  return {.node = platform_.node,
-          .lease = rules_.leader_lease,
-          .renewal_grace = leader::renewal_grace(platform_)};
+  return {.node = platform_settings_.node,
+          .lease_duration = operator_settings_.leader_lease,
+          .renewal_grace = leader::renewal_grace(platform_settings_)};
 }
 
 peers::peer_network::hooks controller::peer_callbacks() {
@@ -91,7 +96,7 @@
                          const net::reply_fn& reply) { api_.handle(message, true, reply); },
           .job_announced = [this](const job_id& job) { fetch_announced_job(job); },
           .store_reachable = [this] { return store_reachable(); },
-          .heartbeats_seen = [this] { return heartbeats_.redirected_lately(); },
+          .heartbeats_seen = [this] { return heartbeat_router_.recent_redirects(); },
           .leader =
               [this] {
                 return peers::named_leader{elector_.leader().node, elector_.leader().token};
@@ -103,12 +108,12 @@
 leadership::leader_elector::callbacks controller::elector_callbacks() {
   return {.elected = [this](fencing_token token,
                             const kvstore::condition& leader) { begin_term(token, leader); },
-          .deposed = [this] { end_term(); }};
+          .stepped_down = [this] { end_term(); }};
 }
 
 leader::leader_term::callbacks controller::term_callbacks() {
   return {
-      .deposed = [this] { elector_.superseded(); },
+      .deposed = [this] { elector_.handle_leader_key_loss(); },
       .lease_valid = [this] { return elector_.lease_valid(); },
       .finished = [this](const job_id& id,
                          const job_store::terminal_state& end) { api_.remember(id, end); },
@@ -119,7 +124,7 @@
   return {.leader =
               [this] {
                 const node_name& leader = elector_.leader().node;
-                return workers::leader_contact{leader, hears_of(leader)};
+                return workers::leader_contact{leader, is_reachable(leader)};
               },
           .zone_of = [this](const node_name& node) { return zone_of(node); }};
 }
@@ -135,19 +140,19 @@
 
 void controller::begin_term(fencing_token token, const kvstore::condition& leader) {
   store_.set_write_share(leader_write_share);
-  term_ = std::make_unique<leader::leader_term>(leader::term_environment{.runtime = runtime_,
-                                                                         .store = store_,
-                                                                         .executor = executor_,
-                                                                         .platform = platform_,
-                                                                         .rules = rules_,
-                                                                         .measured = metrics_},
-                                                token, leader, machine_types_.types(),
-                                                term_callbacks());
+  term_ = std::make_unique<leader::leader_term>(
+      leader::term_environment{.runtime = runtime_,
+                               .store = store_,
+                               .executor = executor_,
+                               .platform = platform_settings_,
+                               .rules = operator_settings_,
+                               .measured = metrics_},
+      token, leader, machine_types_.types(), term_callbacks());
   term_->start();
 }
 
 void controller::end_term() {
-  store_.set_write_share(write_share);
+  store_.set_write_share(non_leader_write_share);
   term_.reset();
 }
 
@@ -155,14 +160,15 @@
   if (is_leader() && api::valid_id(job.str())) term_->fetch_job(job);
 }
 
-/// Whether a peer was heard lately. A node that is no peer, like this one itself, counts as heard.
-bool controller::hears_of(const node_name& node) const {
+/// Reports whether a peer has recently answered a heartbeat. A node that is not a peer, such as
+/// this node itself, counts as reachable.
+bool controller::is_reachable(const node_name& node) const {
   const auto peer = peers_.peers().find(node);
   return peer == peers_.peers().end() || peers_.recently_seen(peer->second);
 }
 
 zone_name controller::zone_of(const node_name& node) const {
-  for (const auto& peer : platform_.peers) {
+  for (const auto& peer : platform_settings_.peers) {
     if (peer.node == node) return peer.zone;
   }
   return {};
@@ -187,8 +193,9 @@
 
 bool controller::healthy() const {
   if (store_reachable()) return true;
-  // When the store refuses everybody, being passed over helps nobody. A node that hears neither
-  // the store nor any peer is most likely the one that is cut off.
+  // If no controller can reach the store, users gain nothing from being sent to another controller,
+  // so this one still reports itself healthy. A node that can reach neither the store nor any peer,
+  // however, is most likely the one that is cut off.
   bool isolated = !peers_.peers().empty();
   for (const auto& [node, peer] : peers_.peers()) {
     if (!peers_.recently_seen(peer)) continue;
@@ -200,12 +207,12 @@
 
 bool controller::store_reachable() const {
   if (store_.last_failure() <= store_.last_answer()) return true;
-  return runtime_.now() - store_.last_answer() < store_patience;
+  return runtime_.now() - store_.last_answer() < store_timeout;
 }
 
 void controller::handle_public_request(const net::request& message, const net::reply_fn& reply) {
   if (message.target == "/v1/report") {
-    heartbeats_.handle(message, reply);
+    heartbeat_router_.handle(message, reply);
     return;
   }
   ++metrics_.user_requests;
@@ -220,7 +227,7 @@
 
 void controller::forward_to_leader(const net::request& message, net::reply_fn done) {
   const node_name leader = elector_.leader().node;
-  if (leader.empty() || leader == platform_.node) {
+  if (leader.empty() || leader == platform_settings_.node) {
     done({});
     return;
   }
@@ -237,7 +244,7 @@
 }
 
 std::string controller::status() {
-  nlohmann::json report = {{"node", platform_.node.str()},
+  nlohmann::json report = {{"node", platform_settings_.node.str()},
                            {"version", GINGERDRIFT_VERSION},
                            {"leader", elector_.leader().node.str()},
                            {"is_leader", is_leader()},
--- a/src/daemon/controller.hpp
+++ b/src/daemon/controller.hpp
@@ -18,29 +18,33 @@
 
 namespace gingerdrift::daemon {
 
-/// One controller: its parts, wired together. It runs the same on libuv and in virtual time, on one
-/// thread but for scheduling cycles.
+/// One controller process: creates the components and connects them.
+///
+/// Runs unchanged on libuv and, in tests, in virtual time. Everything runs on the thread of the
+/// runtime, except that the executor may compute scheduling cycles on a thread of its own.
 class controller : private api::node_services {
  public:
-  /// `seed`: of the elector's random delays.
+  /// `seed` initializes the leader elector's random generator. `runtime` and `executor` have to
+  /// outlive the controller.
   controller(net::runtime& runtime, leader::scheduling_executor& executor,
-             config::platform_settings platform, config::operator_settings rules,
-             std::uint64_t seed);
+             config::platform_settings platform_settings,
+             config::operator_settings operator_settings, std::uint64_t seed);
   ~controller() override;
   controller(const controller&) = delete;
   controller& operator=(const controller&) = delete;
 
-  /// Begins with everything that is done periodically; to be called once.
+  /// Starts all periodic activities. Must be called only once.
   void start();
-  /// Handles requests of users, workers and health checks.
+  /// Handles a request from the public address: from users, workers and health checks.
   void handle_public_request(const net::request& message, const net::reply_fn& reply);
-  /// Handles requests of the other controllers.
+  /// Handles a request from another controller.
   void handle_peer_request(const net::request& message, const net::reply_fn& reply);
-  /// Whether it holds the leader's lease and has read all records.
+  /// Reports whether this controller holds the leader's lease and has read all records from the
+  /// store.
   bool is_leader() const override { return elector_.lease_valid() && term_ && term_->ready(); }
 
  private:
-  // What the users' interface needs.
+  // Implementation of api::node_services.
   std::optional<job_store::job_state> state_of(const job_id& job) override;
   void cancel(const job_id& job, cancelled_fn done) override;
   void job_submitted(const job_id& job) override;
@@ -54,7 +58,7 @@
   std::string status() override;
   bool dependencies_supported() const override { return versions_.all_support_dependencies(); }
 
-  // How the parts are wired.
+  // Options and callbacks of the components.
   api::options api_options() const;
   std::map<node_name, std::string> peer_addresses() const;
   std::vector<node_name> all_nodes() const;
@@ -69,13 +73,13 @@
   void begin_term(fencing_token token, const kvstore::condition& leader);
   void end_term();
   void fetch_announced_job(const job_id& job);
-  bool hears_of(const node_name& node) const;
+  bool is_reachable(const node_name& node) const;
   zone_name zone_of(const node_name& node) const;
 
   net::runtime& runtime_;
   leader::scheduling_executor& executor_;
-  const config::platform_settings platform_;
-  const config::operator_settings rules_;
+  const config::platform_settings platform_settings_;
+  const config::operator_settings operator_settings_;
   metrics metrics_;
   kvstore::client store_;
   api::http_api api_;
@@ -84,10 +88,10 @@
   workers::lease_delegate delegate_;
   versioning::version_registry versions_;
   machine_type_cache machine_types_;
-  heartbeat_router heartbeats_;
+  heartbeat_router heartbeat_router_;
   leader_watchdog watchdog_;
   status_logger status_logger_;
-  std::unique_ptr<leader::leader_term> term_;  // while this controller is leader
+  std::unique_ptr<leader::leader_term> term_;  // null unless this controller is leader
 };
 
 }  // namespace gingerdrift::daemon
--- a/src/daemon/heartbeat_router.hpp
+++ b/src/daemon/heartbeat_router.hpp
@@ -10,31 +10,35 @@
 
 namespace gingerdrift::daemon {
 
-/// Takes workers' heartbeats to whoever may answer them: the term of this controller, the lease
-/// delegate while the zone is cut off from the leader, or else another controller.
+/// Routes workers' heartbeats to the component that may answer them: the leader term of this
+/// controller, or the lease delegate while this zone is cut off from the leader. Any other
+/// heartbeat is answered with a redirect to the leader.
+///
+/// Not thread-safe; runs on the thread of the runtime.
 class heartbeat_router {
  public:
-  /// What the router asks of its controller.
+  /// Queries to the controller that owns the router.
   struct callbacks {
-    /// The term of this controller; nullptr if it is not the leader.
+    /// Returns the leader term of this controller, or nullptr if it is not the leader.
     std::function<leader::leader_term*()> term;
-    /// Whether the key-value store answers this controller.
+    /// Reports whether this controller can reach the key-value store.
     std::function<bool()> store_reachable;
   };
-  heartbeat_router(net::runtime& runtime, const config::platform_settings& platform,
+  heartbeat_router(net::runtime& runtime, const config::platform_settings& platform_settings,
                    const leadership::leader_elector& elector, workers::lease_delegate& delegate,
-                   metrics& metrics, callbacks owner);
+                   metrics& metrics, callbacks owner_callbacks);
 
-  /// Answers a worker's heartbeat; `reply` may run at once, or later.
+  /// Answers a worker's heartbeat. `reply` may be called before this function returns, or later.
   void handle(const net::request& message, const net::reply_fn& reply);
-  /// How many heartbeats this node redirected lately: workers reach it, and not the leader.
-  std::uint64_t redirected_lately() { return redirected_.count(runtime_.now()); }
+  /// Returns the number of heartbeats that this node redirected during the last one to two
+  /// heartbeat periods. A positive number means that workers reach this node, but not the leader.
+  std::uint64_t recent_redirects() { return recent_redirects_.count(runtime_.now()); }
 
  private:
-  bool give_to_delegate(const net::request& message, const net::reply_fn& reply);
+  bool try_dispatch_to_delegate(const net::request& message, const net::reply_fn& reply);
   void redirect_to_leader(const net::reply_fn& reply);
-  void give_to_term(leader::leader_term& term, const net::request& message,
-                    const net::reply_fn& reply);
+  void dispatch_to_term(leader::leader_term& term, const net::request& message,
+                        const net::reply_fn& reply);
 
   net::runtime& runtime_;
   const node_name node_;
@@ -42,7 +46,7 @@
   workers::lease_delegate& delegate_;
   metrics& metrics_;
   callbacks callbacks_;
-  recent_count redirected_;
+  recent_count recent_redirects_;
 };
 
 }  // namespace gingerdrift::daemon
--- a/src/daemon/leader_watchdog.cpp
+++ b/src/daemon/leader_watchdog.cpp
@@ -8,13 +8,16 @@
 
 namespace {
 constexpr auto check_period = milliseconds(500);
-/// A check this late means that the process stood still.
-constexpr auto standstill = seconds(2);
-/// Of so many machines, one at least sends a heartbeat in each period, give or take a quarter.
-constexpr std::size_t many_machines = 20;
-/// A worker that gets no answer turns to another controller after 4 s; half a second on top.
-constexpr duration redirect_delay = milliseconds(4500);
-/// How long a leader that stepped down leaves elections to its peers.
+/// If two checks are further apart than this, the process has been stalled.
+constexpr auto stall_threshold = seconds(2);
+/// In a fleet of at least this many machines, some heartbeat arrives in every heartbeat period,
+/// with a deviation of about a quarter of the period.
+constexpr std::size_t large_fleet_machines = 20;
+/// A worker that gets no answer turns to another controller after 4 s; half a second is added as a
+/// margin.
+constexpr duration worker_failover_delay = milliseconds(4500);
+/// How long a leader that has stepped down leaves elections to its peers, so that one of them can
+/// win.
 constexpr auto election_back_off = seconds(15);
 }  // namespace
 
@@ -35,29 +38,31 @@
 
 void leader_watchdog::check() {
   timer_.start(check_period, [this] { check(); });
-  log_standstill();
+  log_process_stall();
   const auto* term = leading_term_();
   if (term == nullptr || term->machines() == 0) return;
-  if (runtime_.now() - term->last_heartbeat() >= patience(*term)) step_down_for_a_peer();
+  if (runtime_.now() - term->last_heartbeat() >= heartbeat_timeout(*term))
+    step_down_if_peer_receives_heartbeats();
 }
 
-void leader_watchdog::log_standstill() {
+void leader_watchdog::log_process_stall() {
   const time_point now = runtime_.now();
   const duration since_last_check = now - last_check_;
   last_check_ = now;
-  if (since_last_check > standstill)
+  if (since_last_check > stall_threshold)
     spdlog::info("process_stalled for_s={:.1f}", to_seconds(since_last_check));
 }
 
-/// How long a leader may be without heartbeats. With many machines silence shows sooner. Workers
-/// still on their way to a new leader get the longer time.
-duration leader_watchdog::patience(const leader::leader_term& term) const {
-  const duration longest = heartbeat_period_ * 2 + seconds(1);
-  if (term.machines() < many_machines || !term.received_heartbeats()) return longest;
-  return std::min(longest, std::max(heartbeat_period_, redirect_delay));
+/// Returns how long the leader may go without heartbeats. In a large fleet a missing heartbeat is
+/// conclusive sooner, so the time is shorter there. A new leader that has not yet received any
+/// heartbeat gets the longer time, since workers may still be switching to it.
+duration leader_watchdog::heartbeat_timeout(const leader::leader_term& term) const {
+  const duration default_timeout = heartbeat_period_ * 2 + seconds(1);
+  if (term.machines() < large_fleet_machines || !term.received_heartbeats()) return default_timeout;
+  return std::min(default_timeout, std::max(heartbeat_period_, worker_failover_delay));
 }
 
-void leader_watchdog::step_down_for_a_peer() {
+void leader_watchdog::step_down_if_peer_receives_heartbeats() {
   for (const auto& [node, peer] : peers_.peers()) {
     if (!peers_.recently_seen(peer) || peer.heartbeats_seen == 0) continue;
     spdlog::info("leader_unreachable_for_workers node={}", node);
--- a/src/daemon/leader_watchdog.hpp
+++ b/src/daemon/leader_watchdog.hpp
@@ -9,25 +9,25 @@
 
 namespace gingerdrift::daemon {
 
-/// Makes a leader that no worker reaches step down, when workers turn to one of its peers instead.
-/// Also logs when this process stood still.
+/// Makes this controller step down as leader if it receives no heartbeats from workers while one of
+/// its peers does. Also logs when this process has been stalled.
 class leader_watchdog {
  public:
-  /// The term of this controller while it leads; nullptr otherwise.
+  /// Returns the leader term of this controller, or nullptr if it does not lead.
   using leading_term_fn = std::function<const leader::leader_term*()>;
-  /// `heartbeat_period`: of the workers.
+  /// `heartbeat_period` is the interval at which each worker sends heartbeats.
   leader_watchdog(net::runtime& runtime, duration heartbeat_period,
                   const peers::peer_network& peers, leadership::leader_elector& elector,
                   leading_term_fn leading_term);
 
-  /// Begins to check, every half second.
+  /// Starts the periodic checks, one every half second.
   void start();
 
  private:
   void check();
-  void log_standstill();
-  duration patience(const leader::leader_term& term) const;
-  void step_down_for_a_peer();
+  void log_process_stall();
+  duration heartbeat_timeout(const leader::leader_term& term) const;
+  void step_down_if_peer_receives_heartbeats();
 
   net::runtime& runtime_;
   const duration heartbeat_period_;
--- a/src/daemon/logging.cpp
+++ b/src/daemon/logging.cpp
@@ -9,8 +9,8 @@
 namespace gingerdrift::daemon {
 
 namespace {
-/// What names no level means info.
-spdlog::level::level_enum level_named(const std::string& name) {
+/// Returns the level with this name, or info if there is none.
+spdlog::level::level_enum parse_log_level(const std::string& name) {
   if (name == "debug") return spdlog::level::debug;
   if (name == "error") return spdlog::level::err;
   return spdlog::level::info;
@@ -22,8 +22,9 @@
   logger->set_pattern("%Y-%m-%dT%H:%M:%S.%e %l %v");
   spdlog::set_default_logger(logger);
   const char* level = std::getenv("LOG_LEVEL");
-  spdlog::set_level(level_named(level == nullptr ? "info" : level));
-  // The flush per record is what makes the last words before a kill readable.
+  spdlog::set_level(parse_log_level(level == nullptr ? "info" : level));
+  // Every record is flushed at once, so that the last records before the process is killed are not
+  // lost.
   spdlog::flush_on(spdlog::level::debug);
 }
 
--- a/src/daemon/logging.hpp
+++ b/src/daemon/logging.hpp
@@ -2,7 +2,8 @@
 
 namespace gingerdrift::daemon {
 
-/// Sends the log to standard error, at the level that LOG_LEVEL names: debug, info or error.
+/// Configures the default logger to write to standard error. The environment variable LOG_LEVEL
+/// sets the level: debug, info or error. Any other value, or none, means info.
 void set_up_logging();
 
 }  // namespace gingerdrift::daemon
--- a/src/daemon/machine_type_cache.cpp
+++ b/src/daemon/machine_type_cache.cpp
@@ -7,7 +7,7 @@
 namespace gingerdrift::daemon {
 
 namespace {
-constexpr duration retry_period = seconds(3);  // while the types are not known
+constexpr duration retry_period = seconds(3);  // while no types are known
 constexpr duration refresh_period = seconds(120);
 constexpr duration fetch_deadline = seconds(4);
 constexpr int status_ok = 200;
@@ -15,15 +15,18 @@
 }  // namespace
 
 machine_type_cache::machine_type_cache(net::runtime& runtime, kvstore::client& store,
-                                       std::string cloud)
-    : runtime_(runtime), store_(store), cloud_(std::move(cloud)), fetch_timer_(runtime) {}
+                                       std::string cloud_address)
+    : runtime_(runtime),
+      store_(store),
+      cloud_address_(std::move(cloud_address)),
+      fetch_timer_(runtime) {}
 
 void machine_type_cache::start() {
-  read_stored();
+  load_stored_types();
   fetch();
 }
 
-void machine_type_cache::read_stored() {
+void machine_type_cache::load_stored_types() {
   store_.get(types_key, guard_.wrap([this](const kvstore::result& stored) {
     if (!types_.empty() || !stored.ok() || stored.entries.empty()) return;
     const auto types = cloud::read_types(stored.entries.front().value.dump());
@@ -32,19 +35,19 @@
 }
 
 void machine_type_cache::fetch() {
-  runtime_.call(cloud_, {"GET", "/flavors", ""}, fetch_deadline,
-                guard_.wrap([this](const net::response& response) { fetched(response); }));
+  runtime_.call(cloud_address_, {"GET", "/flavors", ""}, fetch_deadline,
+                guard_.wrap([this](const net::response& response) { types_fetched(response); }));
 }
 
-void machine_type_cache::fetched(const net::response& response) {
+void machine_type_cache::types_fetched(const net::response& response) {
   const auto types = response.status == status_ok ? cloud::read_types(response.body) : std::nullopt;
   if (types && !types->empty()) {
-    const bool first = types_.empty();
+    const bool is_first_fetch = types_.empty();
     types_ = *types;
-    if (first) store_types();
+    if (is_first_fetch) store_types();
   } else if (types_.empty()) {
     spdlog::info("machine_types_unknown status={} bytes={}", response.status, response.body.size());
-    read_stored();
+    load_stored_types();
   }
   fetch_timer_.start(types_.empty() ? retry_period : refresh_period, [this] { fetch(); });
 }
--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -18,13 +18,13 @@
 using namespace gingerdrift;
 
 constexpr int exit_failure = 1;
-constexpr int exit_usage = 2;  // wrong arguments or settings
-constexpr std::size_t largest_peer_message = std::size_t{128} << 10;
+constexpr int exit_usage = 2;  // invalid arguments or settings
+constexpr std::size_t max_peer_message_bytes = std::size_t{128} << 10;
 
-/// What the command line says.
+/// Parsed command-line arguments.
 struct arguments {
   std::string platform_file;
-  std::string operator_file;  // empty: the defaults
+  std::string operator_file;  // empty: the default settings apply
   bool check_only = false;
 };
 
@@ -35,24 +35,24 @@
   app.add_flag("--check", arguments.check_only, "check both settings files and exit");
 }
 
-net::client_limits call_limits(const config::connection_budget& connections) {
+net::client_limits outgoing_call_limits(const config::connection_budget& connections) {
   net::client_limits limits;
   limits.open_total = connections.calls;
   return limits;
 }
 
-net::server_limits front_limits(const config::connection_budget& connections) {
+net::server_limits public_server_limits(const config::connection_budget& connections) {
   net::server_limits limits;
   limits.connections = connections.front;
   limits.backlog = connections.front_backlog;
   return limits;
 }
 
-net::server_limits peer_limits(const config::connection_budget& connections) {
+net::server_limits peer_server_limits(const config::connection_budget& connections) {
   net::server_limits limits;
   limits.connections = connections.peers;
   limits.backlog = connections.peer_backlog;
-  limits.body_bytes = largest_peer_message;
+  limits.body_bytes = max_peer_message_bytes;
   return limits;
 }
 
@@ -61,46 +61,50 @@
   return (std::uint64_t{entropy()} << 32) ^ entropy();
 }
 
-/// Returns the exit status, if it can't listen; otherwise it runs for ever.
-int run(const config::platform_settings& platform, const config::operator_settings& rules) {
-  const auto connections = config::connection_budget::of(platform.max_connections);
-  net::uv_runtime runtime(call_limits(connections));
+/// Runs the controller. Returns an exit status only if an address can't be listened on; otherwise
+/// runs until the process is terminated.
+int run(const config::platform_settings& platform_settings,
+        const config::operator_settings& operator_settings) {
+  const auto connections = config::connection_budget::of(platform_settings.max_connections);
+  net::uv_runtime runtime(outgoing_call_limits(connections));
   leader::threaded_scheduling_executor executor(
-      leader::scheduling_policy(rules),
+      leader::scheduling_policy(operator_settings),
       [&runtime](std::function<void()> action) { runtime.post(std::move(action)); });
-  daemon::controller controller(runtime, executor, platform, rules, random_seed());
-  net::http_server front(runtime, front_limits(connections),
-                         [&](const net::request& message, const net::reply_fn& reply) {
-                           controller.handle_public_request(message, reply);
-                         });
-  net::http_server peer_server(runtime, peer_limits(connections),
+  daemon::controller controller(runtime, executor, platform_settings, operator_settings,
+                                random_seed());
+  net::http_server public_server(runtime, public_server_limits(connections),
+                                 [&](const net::request& message, const net::reply_fn& reply) {
+                                   controller.handle_public_request(message, reply);
+                                 });
+  net::http_server peer_server(runtime, peer_server_limits(connections),
                                [&](const net::request& message, const net::reply_fn& reply) {
                                  controller.handle_peer_request(message, reply);
                                });
-  for (const auto& failure :
-       {front.listen(platform.listen), peer_server.listen(platform.peer_listen)}) {
+  for (const auto& failure : {public_server.listen(platform_settings.listen),
+                              peer_server.listen(platform_settings.peer_listen)}) {
     if (!failure) continue;
     std::cerr << "gingerdrift: can't listen: " << failure->message() << "\n";
     return exit_failure;
   }
   spdlog::info("controller_started version={} node={} address={}", GINGERDRIFT_VERSION,
-               platform.node, platform.listen);
+               platform_settings.node, platform_settings.listen);
   controller.start();
   runtime.run();
   return 0;
 }
 
-/// Reads the settings, and runs the controller unless they are only to be checked.
+/// Reads the settings and, unless they are only to be checked, runs the controller. Returns the
+/// exit status.
 int run(const arguments& arguments) {
-  const auto platform = config::read_platform_settings(arguments.platform_file);
-  config::operator_settings rules;
+  const auto platform_settings = config::read_platform_settings(arguments.platform_file);
+  config::operator_settings operator_settings;
   if (!arguments.operator_file.empty())
-    rules = config::read_operator_settings(arguments.operator_file);
+    operator_settings = config::read_operator_settings(arguments.operator_file);
   if (arguments.check_only) {
     std::cout << "settings are fine\n";
     return 0;
   }
-  return run(platform, rules);
+  return run(platform_settings, operator_settings);
 }
 
 }  // namespace
--- a/src/daemon/status_report.cpp
+++ b/src/daemon/status_report.cpp
@@ -31,14 +31,14 @@
   }
 }
 
-status_logger::status_logger(net::runtime& runtime, callbacks owner)
-    : callbacks_(std::move(owner)), timer_(runtime) {}
+status_logger::status_logger(net::runtime& runtime, callbacks owner_callbacks)
+    : callbacks_(std::move(owner_callbacks)), timer_(runtime) {}
 
 void status_logger::start() {
-  timer_.start(log_period, [this] { log(); });
+  timer_.start(log_period, [this] { log_status(); });
 }
 
-void status_logger::log() {
+void status_logger::log_status() {
   start();
   if (callbacks_.is_leader()) spdlog::info("status_report {}", callbacks_.status());
 }
--- a/src/daemon/status_report.hpp
+++ b/src/daemon/status_report.hpp
@@ -10,28 +10,29 @@
 
 namespace gingerdrift::daemon {
 
-/// Adds the counters, and the time spent by activity, to a status report.
+/// Adds all counters and the time spent on each activity to a status report.
 void add_metrics(const metrics& metrics, nlohmann::json& report);
-/// Adds what is known of each peer to a status report.
+/// Adds the state of each peer, as this controller sees it, to a status report.
 void add_peers(const peers::peer_network& network, nlohmann::json& report);
 
-/// Logs the status of a leader now and then, for whoever reads the log of a busy deployment.
+/// Periodically logs the status report while this controller is leader, so that the log of a busy
+/// deployment shows its state over time. Not thread-safe; runs on the thread of the runtime.
 class status_logger {
  public:
-  /// What the logger asks of its controller.
+  /// Queries to the controller that owns the logger.
   struct callbacks {
-    /// Whether this controller leads; the others log nothing.
+    /// Reports whether this controller is leader. Other controllers log no status.
     std::function<bool()> is_leader;
-    /// The report as it is logged, in one line.
+    /// Returns the status report as a single line of text.
     std::function<std::string()> status;
   };
-  status_logger(net::runtime& runtime, callbacks owner);
+  status_logger(net::runtime& runtime, callbacks owner_callbacks);
 
-  /// Logs from now on, first after one period.
+  /// Starts to log the status; the first report follows after one period.
   void start();
 
  private:
-  void log();
+  void log_status();
 
   callbacks callbacks_;
   net::timer timer_;
--- a/tests/leader_watchdog_test.cpp
+++ b/tests/leader_watchdog_test.cpp
@@ -1,4 +1,4 @@
-// When a leader that no worker reaches steps down.
+// Tests when a leader that receives no heartbeats from workers steps down.
 #include "daemon/leader_watchdog.hpp"
 
 #include "leading_controller.hpp"
@@ -14,7 +14,7 @@
                 peer.handle(message, reply);
               });
     peers.start();
-    lead();
+    become_leader();
     watchdog.start();
   }
   peers::peer_network::hooks peer_callbacks() {
@@ -31,7 +31,7 @@
                              [](const std::optional<std::string>&) {});
   }
 
-  /// Workers' heartbeats that the peer says it received.
+  /// Number of recent worker heartbeats that the peer reports.
   std::uint64_t heartbeats_at_peer = 5;
   sim_runtime peer_runtime{net, "node-1"};
   peers::peer_network peer{peer_runtime, "node-1", {}, peer_callbacks()};
@@ -41,14 +41,16 @@
 };
 }  // namespace
 
-TEST_F(leader_watchdog_test, steps_down_and_backs_off_when_workers_turn_to_a_peer) {
+TEST_F(leader_watchdog_test, steps_down_and_backs_off_when_a_peer_receives_the_heartbeats) {
   receive_heartbeats(1);
   net.run_for(milliseconds(6900));
-  EXPECT_TRUE(elector.is_leader()) << "two periods and a second have not passed";
+  EXPECT_TRUE(elector.is_leader())
+      << "the timeout of two heartbeat periods and one second has not passed";
   net.run_for(milliseconds(700));
   EXPECT_FALSE(elector.is_leader());
   net.run_for(seconds(14));
-  EXPECT_FALSE(elector.is_leader()) << "it leaves the election to its peer";
+  EXPECT_FALSE(elector.is_leader())
+      << "the node must leave the election to its peer while it backs off";
 }
 
 TEST_F(leader_watchdog_test, stays_leader_when_its_peer_receives_no_heartbeats_either) {
@@ -58,7 +60,7 @@
   EXPECT_TRUE(elector.is_leader());
 }
 
-TEST_F(leader_watchdog_test, stays_leader_when_the_peer_was_not_heard_lately) {
+TEST_F(leader_watchdog_test, stays_leader_when_the_peer_is_unreachable) {
   receive_heartbeats(1);
   net.run_for(seconds(2));
   net.stop("node-1");
--- a/tests/leadership_test.cpp
+++ b/tests/leadership_test.cpp
@@ -8,29 +8,30 @@
 
 namespace {
 
-/// A controller that only takes part in elections, and notes what happens to it.
+/// A simulated controller that only takes part in elections and records their outcome.
 struct candidate {
   candidate(sim_net& net, const std::string& name)
       : runtime(net, name),
         store(runtime, "state:1", {100, 50, 8, 24}, std::nullopt, {1, 1, 0.5}),
-        elector(runtime, store,
-                {.node = node_name(name), .lease = seconds(4), .renewal_grace = seconds(5)},
-                net.random(),
-                {.elected = [this](fencing_token token,
-                                   const kvstore::condition&) { tokens.push_back(token); },
-                 .deposed = [this] { ++times_deposed; }}) {
+        elector(
+            runtime, store,
+            {.node = node_name(name), .lease_duration = seconds(4), .renewal_grace = seconds(5)},
+            net.random(),
+            {.elected = [this](fencing_token token,
+                               const kvstore::condition&) { tokens.push_back(token); },
+             .stepped_down = [this] { ++times_stepped_down; }}) {
     elector.start();
   }
   sim_runtime runtime;
   kvstore::client store;
   leadership::leader_elector elector;
-  std::vector<fencing_token> tokens;
-  int times_deposed = 0;
+  std::vector<fencing_token> tokens;  // one for each election won
+  int times_stepped_down = 0;
 };
 
 }  // namespace
 
-TEST(leadership, tokens_rise_and_two_leaders_are_never_valid_at_once) {
+TEST(leadership, tokens_increase_and_at_most_one_lease_is_valid) {
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
     sim_net net(seed);
     state_service state(net, "state:1");
@@ -48,15 +49,15 @@
         }
       }
       net.run_for(milliseconds(100));
-      int lease_valid = 0;
+      int valid_leases = 0;
       for (const auto& candidate : candidates) {
         if (!candidate->elector.lease_valid()) continue;
-        ++lease_valid;
+        ++valid_leases;
         EXPECT_GE(candidate->elector.token(), newest);
         handovers += candidate->elector.token() > newest;
         newest = candidate->elector.token();
       }
-      ASSERT_LE(lease_valid, 1) << "seed " << seed << " step " << step;
+      ASSERT_LE(valid_leases, 1) << "seed " << seed << " step " << step;
     }
     EXPECT_GE(handovers, 5);
   }
@@ -75,7 +76,7 @@
   EXPECT_EQ(restarted.elector.token(), fencing_token(2));
 }
 
-TEST(leadership, a_leader_without_the_store_renews_worker_leases_only_for_its_grace) {
+TEST(leadership, a_leader_cut_off_from_the_store_renews_worker_leases_only_during_the_grace) {
   sim_net net(1);
   state_service state(net, "state:1");
   candidate leader(net, "node-0");
@@ -86,23 +87,24 @@
   EXPECT_TRUE(leader.elector.may_renew_worker_leases());
   net.run_for(seconds(6));
   EXPECT_FALSE(leader.elector.may_renew_worker_leases());
-  EXPECT_EQ(leader.times_deposed, 1);
+  EXPECT_EQ(leader.times_stepped_down, 1);
 }
 
-// Guards against: a leader that lost only the store kept all workers from its successor.
-TEST(leadership, a_leader_that_hears_of_a_successor_steps_down_at_once) {
+// Guards against a leader that has lost only its connection to the store and continues to answer
+// all workers, so that they never reach its successor.
+TEST(leadership, a_leader_steps_down_at_once_when_a_peer_reports_a_successor) {
   sim_net net(1);
   state_service state(net, "state:1");
   candidate leader(net, "node-0");
   net.run_for(seconds(1));
   leader.elector.observe_leader("node-1", fencing_token(1));
-  EXPECT_TRUE(leader.elector.is_leader()) << "an equal token is no successor's";
+  EXPECT_TRUE(leader.elector.is_leader()) << "an equal token does not belong to a successor";
   leader.elector.observe_leader("node-1", fencing_token(2));
   EXPECT_FALSE(leader.elector.is_leader());
   EXPECT_EQ(leader.elector.leader().node, "node-1");
 }
 
-TEST(leadership, an_outage_of_the_store_ends_no_term) {
+TEST(leadership, a_store_outage_that_ends_within_the_renewal_grace_does_not_end_the_term) {
   sim_net net(1);
   state_service state(net, "state:1");
   candidate leader(net, "node-0");
--- a/tests/leading_controller.hpp
+++ b/tests/leading_controller.hpp
@@ -9,11 +9,12 @@
 
 namespace gingerdrift::testing {
 
-/// The elector of a controller, `node-0`, and the term that it runs while it leads.
+/// Fixture with the leader elector of the controller `node-0` and the leader term that runs while
+/// it leads.
 class leading_controller : public leader_parts {
  protected:
-  /// Wins the election; its term has read an empty store then.
-  void lead() {
+  /// Lets the elector win the election and the term read the records of the empty store.
+  void become_leader() {
     elector.start();
     net.run_for(seconds(1));
     ASSERT_TRUE(elector.lease_valid());
@@ -41,11 +42,11 @@
   leadership::leader_elector elector{
       runtime,
       store,
-      {.node = "node-0", .lease = seconds(4), .renewal_grace = seconds(5)},
+      {.node = "node-0", .lease_duration = seconds(4), .renewal_grace = seconds(5)},
       1,
       {.elected = [this](fencing_token, const kvstore::condition&) { begin_term(); },
-       .deposed = [this] { term.reset(); }}};
-  std::unique_ptr<leader::leader_term> term;  // while the elector is leader
+       .stepped_down = [this] { term.reset(); }}};
+  std::unique_ptr<leader::leader_term> term;  // null unless the elector is leader
 };
 
 }  // namespace gingerdrift::testing
