--- a/tests/status_report_test.cpp
+++ b/tests/status_report_test.cpp
@@ -1,4 +1,4 @@
-// What a controller reports of itself, and when it logs that.
+// Tests the contents of the status report and when it is logged.
 #include "daemon/status_report.hpp"
 
 #include <gtest/gtest.h>
@@ -24,7 +24,7 @@
 };
 }  // namespace
 
-TEST_F(status_report_test, shows_counters_and_the_time_spent_by_activity) {
+TEST_F(status_report_test, shows_counters_and_the_time_spent_on_each_activity) {
   metrics measured;
   measured.heartbeats = 1;
   measured.redirected_heartbeats = 2;
