--- a/src/daemon/heartbeat_router.cpp
+++ b/src/daemon/heartbeat_router.cpp
@@ -45,7 +45,7 @@
 
 /// Returns whether the delegate answers the worker.
 bool heartbeat_router::give_to_delegate(const net::request& message, const net::reply_fn& reply) {
-  if (!delegate_.needed() || !callbacks_.store_reachable()) return false;
+  if (!delegate_.is_needed() || !callbacks_.store_reachable()) return false;
   auto heartbeat = workers::decode_heartbeat(message.body);
   if (!heartbeat || !delegate_.is_delegate_for(*heartbeat)) return false;
   delegate_.handle(std::move(*heartbeat), reply);
--- a/src/leader/delegate_monitor.cpp
+++ b/src/leader/delegate_monitor.cpp
@@ -18,7 +18,7 @@
 void delegate_monitor::poll() {
   if (reading_) return;
   reading_ = true;
-  store_.list(workers::delegate_prefix, "",
+  store_.list(workers::delegate_key_prefix, "",
               guard_.wrap([this](const kvstore::result& records) { records_read(records); }));
 }
 
--- a/src/leader/heartbeat_intake.cpp
+++ b/src/leader/heartbeat_intake.cpp
@@ -112,7 +112,7 @@
   std::vector<held_heartbeat> ready(std::make_move_iterator(first_ready),
                                     std::make_move_iterator(held_.end()));
   held_.erase(first_ready, held_.end());
-  for (auto& held : ready) held.answer(workers_.answer(held.heartbeat));
+  for (auto& held : ready) held.answer(workers_.answer_deferred(held.heartbeat));
 }
 
 /// Whether all attempts on the machine are stored: starts go out in an answer only once they are.
--- a/src/leader/leader_term.cpp
+++ b/src/leader/leader_term.cpp
@@ -166,7 +166,7 @@
 void leader_term::recovered() {
   for (auto& [id, job] : jobs_.all()) adopt(job);
   dependencies_.start();
-  workers_.ready();
+  workers_.start_reconciling();
   machines_.start();
   spdlog::info("term_ready term={} jobs={} waiting_for_dependencies={} after_ms={}", token_,
                jobs_.all().size(), dependencies_.waiting_jobs(),
--- a/src/leader/scale_in.cpp
+++ b/src/leader/scale_in.cpp
@@ -45,7 +45,7 @@
 
 std::optional<cloud::release_reason> scale_in::release_reason_of(
     const workers::worker& worker) const {
-  if (!worker.heard_in_term) {
+  if (!worker.reported_in_term) {
     if (never_heard_from(worker)) return cloud::release_reason::never_heard_from;
     return std::nullopt;
   }
@@ -95,7 +95,7 @@
 }
 
 bool scale_in::is_idle(const workers::worker& worker) const {
-  return worker.heard_in_term && surely_unoccupied(worker) && !worker.quarantined_since &&
+  return worker.reported_in_term && surely_unoccupied(worker) && !worker.quarantined_since &&
          !decisions_.is_expected(worker.name);
 }
 
--- a/src/leader/snapshot_builder.cpp
+++ b/src/leader/snapshot_builder.cpp
@@ -46,7 +46,7 @@
 void snapshot_builder::add_reporting_machines(const types_by_name& types,
                                               admission::snapshot& snapshot) {
   for (auto& [name, worker] : workers_.all()) {
-    if (!worker.heard_in_term) continue;
+    if (!worker.reported_in_term) continue;
     const auto type = types.find(worker.pool.type);
     if (type != types.end()) snapshot.machines.push_back(view_of(worker, *type->second));
   }
@@ -59,7 +59,7 @@
     // Nobody should wait for a machine that can't report, nor have more of them rented.
     if (type == types.end() || zones_.cut_off(machine.pool.zone)) continue;
     const auto* worker = workers_.find(machine.name);
-    if (worker != nullptr && (worker->heard_in_term || !worker->attempts.empty())) continue;
+    if (worker != nullptr && (worker->reported_in_term || !worker->attempts.empty())) continue;
     auto view = std::make_shared<admission::machine_view>();
     view->name = machine.name;
     view->pool = machine.pool;
--- a/src/leader/zone_health.cpp
+++ b/src/leader/zone_health.cpp
@@ -45,7 +45,7 @@
     const bool up = machine.reports || machine.status == cloud::machine_status::running;
     if (!up || machine.releasing) continue;
     const time_point last_heartbeat =
-        worker != nullptr && worker->heard_in_term ? worker->last_heartbeat : time_point{};
+        worker != nullptr && worker->reported_in_term ? worker->last_heartbeat : time_point{};
     const duration silence = now - std::max({last_heartbeat, machine.running_since, term_start_});
     auto& zone = zones[machine.pool.zone];
     ++zone.total;
--- a/src/workers/attempt_outcomes.cpp
+++ b/src/workers/attempt_outcomes.cpp
@@ -6,7 +6,7 @@
 
 namespace gingerdrift::workers {
 
-void attempt_outcomes::release_place(job_store::job& job, std::uint32_t task) {
+void attempt_outcomes::release_placement(job_store::job& job, std::uint32_t task) {
   const auto entry = job.attempts().find(task);
   if (entry == job.attempts().end()) return;
   workers_.release(workers_.find_or_add(entry->second.machine), {job.spec().id, task});
@@ -14,7 +14,7 @@
 }
 
 void attempt_outcomes::complete_task(job_store::job& job, std::uint32_t task) {
-  release_place(job, task);
+  release_placement(job, task);
   job.finish_task(task);
   jobs_.mark(job, task, job_store::write_urgency::progress);
   if (job.complete_if_all_tasks_done()) jobs_.mark_head(job);
@@ -28,7 +28,7 @@
   spdlog::info("task_lost job={} task={} attempt={} machine={} evidence={} term={}", job.spec().id,
                task, entry->second.number, entry->second.machine, text_of(evidence), token_);
   end_attempt(job, task);
-  after_loss(job, true);
+  update_job_after_attempt_end(job, true);
 }
 
 void attempt_outcomes::mark_all_lost(const worker& holder, loss_evidence evidence) {
@@ -40,11 +40,11 @@
 }
 
 void attempt_outcomes::end_attempt(job_store::job& job, std::uint32_t task) {
-  release_place(job, task);
+  release_placement(job, task);
   jobs_.mark(job, task, job_store::write_urgency::progress);
 }
 
-void attempt_outcomes::after_loss(job_store::job& job, bool replaceable) {
+void attempt_outcomes::update_job_after_attempt_end(job_store::job& job, bool replaceable) {
   events_.changed();
   if (job.attempts().empty()) {
     job.reset_gang_attempt();
--- a/src/workers/attempt_outcomes.hpp
+++ b/src/workers/attempt_outcomes.hpp
@@ -22,14 +22,14 @@
   void mark_lost(job_store::job& job, std::uint32_t task, loss_evidence evidence);
   /// All attempts on a machine are proven gone.
   void mark_all_lost(const worker& holder, loss_evidence evidence);
-  /// The attempt gives up its place. To be followed by after_loss().
+  /// The attempt gives up its place. To be followed by update_job_after_attempt_end().
   void end_attempt(job_store::job& job, std::uint32_t task);
   /// What an attempt's end means for the others of its job. `replaceable`: a member of a gang
   /// that has not started may be replaced while the others stay.
-  void after_loss(job_store::job& job, bool replaceable);
+  void update_job_after_attempt_end(job_store::job& job, bool replaceable);
 
  private:
-  void release_place(job_store::job& job, std::uint32_t task);
+  void release_placement(job_store::job& job, std::uint32_t task);
 
   job_store::job_table& jobs_;
   worker_table& workers_;
--- a/src/workers/codec.cpp
+++ b/src/workers/codec.cpp
@@ -66,7 +66,7 @@
     wire_name<exit_cause>{"done", exit_cause::done},
     wire_name<exit_cause>{"halted", exit_cause::stopped},
     wire_name<exit_cause>{"mates_gone", exit_cause::peers_gone},
-    wire_name<exit_cause>{"alone", exit_cause::alone},
+    wire_name<exit_cause>{"alone", exit_cause::gang_incomplete},
     wire_name<exit_cause>{"error", exit_cause::error},
     wire_name<exit_cause>{"no_room", exit_cause::no_room},
     wire_name<exit_cause>{"in_use", exit_cause::busy},
@@ -142,12 +142,12 @@
 }
 
 std::optional<duration> read_notice(const json& heartbeat) {
-  constexpr double longest_s = 86400;
+  constexpr double max_notice_s = 86400;
   if (!heartbeat.contains(heartbeat_field::notice_s) ||
       heartbeat[heartbeat_field::notice_s].is_null())
     return std::nullopt;
   return from_seconds(
-      std::clamp(value<double>(heartbeat, heartbeat_field::notice_s), 0.0, longest_s));
+      std::clamp(value<double>(heartbeat, heartbeat_field::notice_s), 0.0, max_notice_s));
 }
 
 task_status decode_task(const json& item) {
@@ -179,11 +179,11 @@
 }
 
 json encode_command(const command& sent) {
-  json order = {{command_field::task, sent.job.str() + "/" + std::to_string(sent.task)},
-                {command_field::attempt, sent.number.value()},
-                {command_field::type, name_of(sent.type)}};
-  if (sent.type == command_type::stop) order[command_field::grace_s] = to_seconds(sent.grace);
-  return order;
+  json encoded = {{command_field::task, sent.job.str() + "/" + std::to_string(sent.task)},
+                  {command_field::attempt, sent.number.value()},
+                  {command_field::type, name_of(sent.type)}};
+  if (sent.type == command_type::stop) encoded[command_field::grace_s] = to_seconds(sent.grace);
+  return encoded;
 }
 
 }  // namespace
@@ -218,7 +218,7 @@
       return "stopped";
     case exit_cause::peers_gone:
       return "peers_gone";
-    case exit_cause::alone:
+    case exit_cause::gang_incomplete:
       return "alone";
     case exit_cause::error:
       return "error";
--- a/src/workers/codec.hpp
+++ b/src/workers/codec.hpp
@@ -11,15 +11,15 @@
 
 /// Why an attempt of a task ended, as its worker tells it.
 enum class exit_cause : std::uint8_t {
-  none,        // it has not ended
-  done,        // the task is complete
-  stopped,     // by a command
-  peers_gone,  // other members of its gang ended while it ran
-  alone,       // the other members of its gang did not start in time
-  error,       // it failed by itself
-  no_room,     // the machine has no room for it
-  busy,        // the machine is in use otherwise
-  unknown      // none of these
+  none,             // it has not ended
+  done,             // the task is complete
+  stopped,          // by a command
+  peers_gone,       // other members of its gang ended while it ran
+  gang_incomplete,  // the other members of its gang did not start in time
+  error,            // it failed by itself
+  no_room,          // the machine has no room for it
+  busy,             // the machine is in use otherwise
+  unknown           // none of these
 };
 
 /// A task as a heartbeat lists it.
--- a/src/workers/delegation_record.cpp
+++ b/src/workers/delegation_record.cpp
@@ -10,8 +10,8 @@
 constexpr int status_not_found = 404;
 }  // namespace
 
-const char* const delegate_prefix = "gd/deputy/";
-std::string delegate_key(const node_name& node) { return delegate_prefix + node.str(); }
+const char* const delegate_key_prefix = "gd/deputy/";
+std::string delegate_key(const node_name& node) { return delegate_key_prefix + node.str(); }
 
 delegation_record::delegation_record(kvstore::client& store, node_name node, zone_name zone)
     : store_(store), node_(std::move(node)), zone_(std::move(zone)) {}
@@ -20,26 +20,26 @@
 /// of leader needs no new one. Writing it again first once cost half a zone its leases: the old
 /// leader crashed behind a cut, and its successor's first second found nobody to answer the
 /// workers.
-void delegation_record::leader_confirmed(fencing_token token, store_revision leader_version,
-                                         std::function<void()> written) {
+void delegation_record::activate(fencing_token token, store_revision leader_version,
+                                 std::function<void()> written) {
   token_ = token;
-  if (state_ == state::active || write_under_way()) return;
-  state_ = state::entering;
+  if (state_ == state::active || write_in_progress()) return;
+  state_ = state::activating;
   write({{leadership::leader_key, leader_version}},
         {{delegation_field::active, true},
          {delegation_field::token, token.value()},
          {delegation_field::zone, zone_.str()}},
         [this, token, written = std::move(written)](bool stored) {
-          const bool still_the_leader = token == token_;
-          state_ = stored && still_the_leader ? state::active : state::possibly_active;
-          if (says_active()) spdlog::info("lease_delegate_active zone={} term={}", zone_, token_);
+          const bool token_unchanged = token == token_;
+          state_ = stored && token_unchanged ? state::active : state::possibly_active;
+          if (is_active()) spdlog::info("lease_delegate_active zone={} term={}", zone_, token_);
           written();
         });
 }
 
-void delegation_record::leave() {
-  if (write_under_way()) return;
-  state_ = state::leaving;
+void delegation_record::deactivate() {
+  if (write_in_progress()) return;
+  state_ = state::deactivating;
   write({}, {{delegation_field::active, false}, {delegation_field::zone, zone_.str()}},
         [this](bool stored) { state_ = stored ? state::inactive : state::possibly_active; });
 }
@@ -51,10 +51,10 @@
   const std::string key = delegate_key(node_);
   store_.get(
       key, guard_.wrap([this, key, conditions = std::move(conditions), value = std::move(value),
-                        done = std::move(done)](const kvstore::result& reading) mutable {
-        if (!reading.ok() && reading.status != status_not_found) return done(false);
+                        done = std::move(done)](const kvstore::result& current) mutable {
+        if (!current.ok() && current.status != status_not_found) return done(false);
         conditions.push_back(
-            {key, reading.entries.empty() ? store_revision() : reading.entries.front().version});
+            {key, current.entries.empty() ? store_revision() : current.entries.front().version});
         store_.txn(conditions, {{key, std::move(value), 0, false}},
                    guard_.wrap([done = std::move(done)](const kvstore::result& answer) {
                      done(answer.ok());
--- a/src/workers/delegation_record.hpp
+++ b/src/workers/delegation_record.hpp
@@ -13,7 +13,7 @@
 /// expired.
 std::string delegate_key(const node_name& node);
 /// What the keys of all delegates' records begin with.
-extern const char* const delegate_prefix;
+extern const char* const delegate_key_prefix;
 
 /// The fields of a delegate's record.
 namespace delegation_field {
@@ -31,27 +31,28 @@
   /// The token of the latest leader that the store confirmed.
   fencing_token token() const { return token_; }
   /// The record says that this delegate acts: it may answer workers.
-  bool says_active() const { return state_ == state::active; }
+  bool is_active() const { return state_ == state::active; }
   /// The record may say so: from a former process, or by an unanswered write.
-  bool may_say_active() const { return state_ != state::inactive; }
+  bool may_be_active() const { return state_ != state::inactive; }
 
   /// The store confirmed that leader, by a key of that version. Has the record say that this
   /// delegate acts, if it doesn't yet; `written` runs once that is answered, whatever the answer.
-  void leader_confirmed(fencing_token token, store_revision leader_version,
-                        std::function<void()> written);
+  void activate(fencing_token token, store_revision leader_version, std::function<void()> written);
   /// The record must not say for longer than needed that the delegate acts: it keeps the leader
   /// waiting.
-  void leave();
+  void deactivate();
 
  private:
   enum class state : std::uint8_t {
     inactive,
     possibly_active,  // a write was not answered, or a former process left it
-    entering,         // the write that says so is under way
+    activating,       // the write that says so is under way
     active,
-    leaving,  // the write that takes it back is under way
+    deactivating,  // the write that takes it back is under way
   };
-  bool write_under_way() const { return state_ == state::entering || state_ == state::leaving; }
+  bool write_in_progress() const {
+    return state_ == state::activating || state_ == state::deactivating;
+  }
   void write(std::vector<kvstore::condition> conditions, kvstore::json value,
              std::function<void(bool stored)> done);
 
--- a/src/workers/exit_handler.cpp
+++ b/src/workers/exit_handler.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 /// How often each member of a gang, on average, may wait in vain before the gang is placed anew.
-constexpr std::uint32_t most_waits = 4;
+constexpr std::uint32_t max_gang_waits_per_member = 4;
 
 spdlog::level::level_enum log_level_of(exit_cause cause) {
   const bool expected = cause == exit_cause::done || cause == exit_cause::stopped;
@@ -32,9 +32,9 @@
   await_storage(sender, job, ended);
   // The others may be fetching still: to stop them would lose their fetches, and where an image
   // takes longer than a member may wait, a gang that began anew each time once never began at all.
-  const bool replaceable =
-      cause == exit_cause::alone && job.count_vain_wait() < most_waits * job.spec().tasks;
-  outcomes_.after_loss(job, replaceable);
+  const bool replaceable = cause == exit_cause::gang_incomplete &&
+                           job.count_vain_wait() < max_gang_waits_per_member * job.spec().tasks;
+  outcomes_.update_job_after_attempt_end(job, replaceable);
 }
 
 bool exit_handler::may_acknowledge(const worker& sender, const job_store::job* job,
@@ -42,8 +42,8 @@
   // The job is over and stored, or never was.
   if (job == nullptr || status.task >= job->spec().tasks) return true;
   const auto& unit = job->units()[job->unit_of(status.task)];
-  const auto exit = sender.exits.find({{status.job, status.task}, status.number});
-  if (exit != sender.exits.end() && unit.stored >= exit->second) return true;
+  const auto exit = sender.handled_exits.find({{status.job, status.task}, status.number});
+  if (exit != sender.handled_exits.end() && unit.stored >= exit->second) return true;
   // An exit that an earlier leader dealt with: the record has nothing left to store of it.
   const auto attempt = job->attempts().find(status.task);
   if (attempt == job->attempts().end()) return !unit.dirty();
@@ -52,7 +52,7 @@
 
 void exit_handler::await_storage(worker& sender, const job_store::job& job,
                                  const attempt_id& attempt) {
-  sender.exits[attempt] = job.units()[job.unit_of(attempt.task.index)].mutation;
+  sender.handled_exits[attempt] = job.units()[job.unit_of(attempt.task.index)].mutation;
 }
 
 }  // namespace gingerdrift::workers
--- a/src/workers/failure_tracker.cpp
+++ b/src/workers/failure_tracker.cpp
@@ -8,22 +8,22 @@
 
 namespace {
 /// A job that fails on so many machines is at fault itself.
-constexpr std::size_t failing_job_machines = 3;
+constexpr std::size_t failing_job_machine_count = 3;
 /// A job that fails everywhere is still tried once a minute: its machines may have been at fault.
-constexpr duration longest_backoff = seconds(60);
+constexpr duration max_backoff = seconds(60);
 constexpr std::uint32_t max_backoff_doublings = 5;
 /// After an error that may be the machine's.
-constexpr duration shortest_backoff = milliseconds(500);
+constexpr duration machine_error_backoff = milliseconds(500);
 constexpr duration unknown_exit_backoff = seconds(2);
 /// For how long a job passes by a machine on which it failed.
-constexpr duration error_memory = seconds(45);
+constexpr duration error_retention = seconds(45);
 }  // namespace
 
 void failure_tracker::note_error(worker& machine, job_store::job& job) {
-  const job_store::failure_policy policy{.machines = failing_job_machines,
-                                         .pause = shortest_backoff,
+  const job_store::failure_policy policy{.machines = failing_job_machine_count,
+                                         .pause = machine_error_backoff,
                                          .first_backoff = options_.failing_job_backoff,
-                                         .longest_backoff = longest_backoff,
+                                         .longest_backoff = max_backoff,
                                          .most_doublings = max_backoff_doublings};
   const auto verdict = job.record_failure(machine.name, runtime_.now(), policy);
   if (verdict == job_store::failure_verdict::job_fails_everywhere)
@@ -34,7 +34,7 @@
   if (job.errors().size() > 1) {
     for (const auto& [name, count] : job.errors()) {
       if (worker* other = workers_.find(name); other != nullptr)
-        clear_suspicion(*other, job.spec().id);
+        clear_failed_job(*other, job.spec().id);
     }
     return;
   }
@@ -50,14 +50,14 @@
 
 void failure_tracker::forget_old_failures() {
   for (auto& [id, job] : jobs_.all()) {
-    if (job.errors().empty() || runtime_.now() - job.last_error() < error_memory) continue;
+    if (job.errors().empty() || runtime_.now() - job.last_error() < error_retention) continue;
     job.forget_failures();
   }
 }
 
 /// The job fails elsewhere too. Two broken jobs that met on one machine first had it returned
 /// before either had been tried on another.
-void failure_tracker::clear_suspicion(worker& machine, const job_id& job) {
+void failure_tracker::clear_failed_job(worker& machine, const job_id& job) {
   machine.failed_jobs.erase(job);
   if (!machine.quarantined_since ||
       machine.failed_jobs.size() >= options_.quarantine_after_failed_jobs)
--- a/src/workers/failure_tracker.hpp
+++ b/src/workers/failure_tracker.hpp
@@ -38,7 +38,7 @@
   void forget_old_failures();
 
  private:
-  void clear_suspicion(worker& machine, const job_id& job);
+  void clear_failed_job(worker& machine, const job_id& job);
   void quarantine(worker& machine);
 
   net::runtime& runtime_;
--- a/src/workers/heartbeat_reconciliation.cpp
+++ b/src/workers/heartbeat_reconciliation.cpp
@@ -11,7 +11,7 @@
   sender_.unknown_tasks.clear();
   sender_.runs_unknown_tasks = false;
   for (const auto& status : heartbeat_.tasks) reconcile_listed(status);
-  sender_.exits = std::move(unacknowledged_);
+  sender_.handled_exits = std::move(unacknowledged_exits_);
 
   const auto held = sender_.attempts;
   for (const auto& id : held) {
@@ -41,39 +41,40 @@
       services_.outcomes.complete_task(*job, status.task);
     return;
   }
-  const job_store::attempt& present = entry->second;
-  if (present.machine != sender_.name || present.number != status.number ||
-      present.incarnation != heartbeat_.incarnation)
+  const job_store::attempt& current = entry->second;
+  if (current.machine != sender_.name || current.number != status.number ||
+      current.incarnation != heartbeat_.incarnation)
     return;
   listed_.insert({status.job, status.task});
   apply_phase(*job, status);
 }
 
 void heartbeat_reconciliation::apply_phase(job_store::job& job, const task_status& status) {
-  const auto& present = job.attempts().at(status.task);
-  if (!present.seen || present.phase != status.phase) job.invalidate_view();
+  const auto& current = job.attempts().at(status.task);
+  if (!current.seen || current.phase != status.phase) job.invalidate_view();
   const bool exited = status.phase == attempt_phase::exited;
   // Such an exit may be the one before this very attempt: a member that waited in vain is started
   // again under its number. Only who has heard us in this term surely speaks of the present one.
-  if (exited && status.cause == exit_cause::alone && sender_.token != services_.token) return;
+  if (exited && status.cause == exit_cause::gang_incomplete && sender_.token != services_.token)
+    return;
   if (exited) {
     services_.exits.handle(sender_, job, status.task, status.cause);
     return;
   }
-  const attempt_phase former = present.phase;
+  const attempt_phase previous_phase = current.phase;
   job.update_phase(status.task, status.phase, services_.runtime.now());
-  if (former != status.phase) services_.events.changed();
-  if (status.phase == attempt_phase::running && former != attempt_phase::running) {
+  if (previous_phase != status.phase) services_.events.changed();
+  if (status.phase == attempt_phase::running && previous_phase != attempt_phase::running) {
     spdlog::debug("task_running job={} task={} attempt={} machine={} term={}", job.spec().id,
-                  status.task, present.number, sender_.name, services_.token);
+                  status.task, current.number, sender_.name, services_.token);
   }
 }
 
 /// The worker forgets an exit only once what it means is stored.
 void heartbeat_reconciliation::acknowledge_exit(const task_status& status) {
   const task_id id{status.job, status.task};
-  const auto exit = sender_.exits.find({id, status.number});
-  if (exit != sender_.exits.end()) unacknowledged_.insert(*exit);
+  const auto exit = sender_.handled_exits.find({id, status.number});
+  if (exit != sender_.handled_exits.end()) unacknowledged_exits_.insert(*exit);
   if (exit_handler::may_acknowledge(sender_, services_.jobs.find(status.job), status))
     commands_.push_back(
         {command_type::acknowledge_exit, status.job, status.task, status.number, {}});
@@ -102,7 +103,7 @@
 heartbeat_reconciliation::missing_attempt heartbeat_reconciliation::classify_missing(
     const job_store::job& job, std::uint32_t task, const job_store::attempt& attempt) const {
   // The heartbeat is of another incarnation than the one that the attempt was placed on.
-  if (attempt.incarnation != heartbeat_.incarnation) return missing_attempt::not_concerned;
+  if (attempt.incarnation != heartbeat_.incarnation) return missing_attempt::no_action;
   if (attempt.seen) return missing_attempt::left_the_heartbeat;
   // An earlier leader's start that the worker does not have: it may have been proven gone, and
   // its room given away, before that was stored. Started again, it once took a team over its
@@ -114,14 +115,14 @@
   // It was sent in the answer to an earlier heartbeat, and this newer one does not list it: the
   // worker never took that answer, and drops it should it still come.
   const bool sent_before = attempt.sent_after != 0 && attempt.sent_after < heartbeat_.sequence;
-  if (sent_before && shows_our_token()) return missing_attempt::start_not_taken;
+  if (sent_before && carries_current_token()) return missing_attempt::start_not_taken;
   // A start is sent under a lease that is surely held, and only once it is stored: a successor
   // has to know of it.
   if (services_.events.lease_valid() && job.attempt_stored(task, attempt) &&
-      !sender_.closed_to_starts())
+      !sender_.is_unschedulable())
     return missing_attempt::startable;
-  if (sender_.closed_to_starts()) return missing_attempt::machine_leaving;
-  return missing_attempt::not_concerned;
+  if (sender_.is_unschedulable()) return missing_attempt::machine_leaving;
+  return missing_attempt::no_action;
 }
 
 void heartbeat_reconciliation::reconcile_missing(const task_id& id) {
@@ -131,23 +132,23 @@
     sender_.view.reset();
     return;
   }
-  const job_store::attempt& present = job->attempts().at(id.index);
-  switch (classify_missing(*job, id.index, present)) {
-    case missing_attempt::not_concerned:
+  const job_store::attempt& current = job->attempts().at(id.index);
+  switch (classify_missing(*job, id.index, current)) {
+    case missing_attempt::no_action:
       return;
     case missing_attempt::left_the_heartbeat:
-      return lose_if_proven(*job, id.index, loss_evidence::left_the_heartbeat);
+      return mark_lost_if_proven(*job, id.index, loss_evidence::left_the_heartbeat);
     case missing_attempt::absent_after_failover:
-      return lose_if_proven(*job, id.index, loss_evidence::absent_after_failover);
+      return mark_lost_if_proven(*job, id.index, loss_evidence::absent_after_failover);
     case missing_attempt::never_started:
-      return lose_if_proven(*job, id.index, loss_evidence::never_started);
+      return mark_lost_if_proven(*job, id.index, loss_evidence::never_started);
     case missing_attempt::start_not_taken:
-      services_.reachability.suspect(sender_, unreachable_sign::start_not_taken);
-      return lose_if_proven(*job, id.index, loss_evidence::start_not_taken);
+      services_.reachability.mark_unreachable(sender_, unreachable_sign::start_not_taken);
+      return mark_lost_if_proven(*job, id.index, loss_evidence::start_not_taken);
     case missing_attempt::startable:
       return start(*job, id.index);
     case missing_attempt::machine_leaving:
-      return lose_if_proven(*job, id.index, loss_evidence::machine_leaving);
+      return mark_lost_if_proven(*job, id.index, loss_evidence::machine_leaving);
   }
 }
 
@@ -161,9 +162,9 @@
 
 /// A heartbeat without our token may be older than a start that an earlier leader sent: that a
 /// task is missing there proves nothing.
-void heartbeat_reconciliation::lose_if_proven(job_store::job& job, std::uint32_t task,
-                                              loss_evidence evidence) {
-  if (shows_our_token()) services_.outcomes.mark_lost(job, task, evidence);
+void heartbeat_reconciliation::mark_lost_if_proven(job_store::job& job, std::uint32_t task,
+                                                   loss_evidence evidence) {
+  if (carries_current_token()) services_.outcomes.mark_lost(job, task, evidence);
 }
 
 }  // namespace gingerdrift::workers
--- a/src/workers/heartbeat_reconciliation.hpp
+++ b/src/workers/heartbeat_reconciliation.hpp
@@ -39,7 +39,7 @@
  private:
   /// What an attempt is whose worker does not list it.
   enum class missing_attempt : std::uint8_t {
-    not_concerned,  // nothing can be said yet, or nothing is to be done
+    no_action,  // nothing can be said yet, or nothing is to be done
     left_the_heartbeat,
     absent_after_failover,
     never_started,
@@ -56,14 +56,15 @@
   missing_attempt classify_missing(const job_store::job& job, std::uint32_t task,
                                    const job_store::attempt& attempt) const;
   void start(job_store::job& job, std::uint32_t task);
-  void lose_if_proven(job_store::job& job, std::uint32_t task, loss_evidence evidence);
-  bool shows_our_token() const { return heartbeat_.token == services_.token; }
+  void mark_lost_if_proven(job_store::job& job, std::uint32_t task, loss_evidence evidence);
+  bool carries_current_token() const { return heartbeat_.token == services_.token; }
 
   const reconciliation_services& services_;
   worker& sender_;
   const worker_heartbeat& heartbeat_;
-  std::set<task_id> listed_;                            // our attempts that the heartbeat lists
-  std::map<attempt_id, std::uint64_t> unacknowledged_;  // exits dealt with that it still lists
+  std::set<task_id> listed_;  // our attempts that the heartbeat lists
+  std::map<attempt_id, std::uint64_t>
+      unacknowledged_exits_;  // exits dealt with that it still lists
   std::vector<command> commands_;
 };
 
--- a/src/workers/job_activity.cpp
+++ b/src/workers/job_activity.cpp
@@ -7,54 +7,55 @@
 namespace {
 constexpr int status_not_found = 404;
 /// Older readings are dropped.
-constexpr duration longest_memory = seconds(20);
+constexpr duration max_retention = seconds(20);
 }  // namespace
 
 job_activity::job_activity(net::runtime& runtime, kvstore::client& store, duration max_age,
-                           std::function<void()> on_reading)
-    : runtime_(runtime), store_(store), max_age_(max_age), on_reading_(std::move(on_reading)) {}
+                           std::function<void()> on_refreshed)
+    : runtime_(runtime), store_(store), max_age_(max_age), on_refreshed_(std::move(on_refreshed)) {}
 
 void job_activity::refresh(const job_id& id) {
-  auto& last = readings_[id];
-  if (is_recent(last) && runtime_.now() - last.sent <= max_age_ / 2) return;
-  if (last.under_way) return;
-  last.under_way = true;
-  store_.get(job_store::head_key(id),
-             guard_.wrap([this, id](const kvstore::result& answer) { take(id, answer); }));
+  auto& cached = statuses_[id];
+  if (is_fresh(cached) && runtime_.now() - cached.requested_at <= max_age_ / 2) return;
+  if (cached.read_in_progress) return;
+  cached.read_in_progress = true;
+  store_.get(job_store::head_key(id), guard_.wrap([this, id](const kvstore::result& answer) {
+    on_record_read(id, answer);
+  }));
 }
 
-void job_activity::take(const job_id& id, const kvstore::result& answer) {
-  auto& last = readings_[id];
-  last.under_way = false;
+void job_activity::on_record_read(const job_id& id, const kvstore::result& answer) {
+  auto& cached = statuses_[id];
+  cached.read_in_progress = false;
   if (answer.ok() && !answer.entries.empty()) {
-    last.active = kvstore::text_field(answer.entries.front().value, "status") ==
-                  job_store::status_name(job_store::job_status::active);
-    last.sent = answer.sent;
+    cached.active = kvstore::text_field(answer.entries.front().value, "status") ==
+                    job_store::status_name(job_store::job_status::active);
+    cached.requested_at = answer.sent;
   } else if (answer.status == status_not_found) {
-    last.active = false;  // over: its record has moved on
-    last.sent = answer.sent;
+    cached.active = false;  // over: its record has moved on
+    cached.requested_at = answer.sent;
   }
-  on_reading_();
+  on_refreshed_();
 }
 
-bool job_activity::is_recent(const reading& last) const {
-  return last.sent != time_point{} && runtime_.now() - last.sent < max_age_;
+bool job_activity::is_fresh(const cached_status& cached) const {
+  return cached.requested_at != time_point{} && runtime_.now() - cached.requested_at < max_age_;
 }
 
-bool job_activity::is_recent(const job_id& id) const {
-  const auto entry = readings_.find(id);
-  return entry != readings_.end() && is_recent(entry->second);
+bool job_activity::is_fresh(const job_id& id) const {
+  const auto entry = statuses_.find(id);
+  return entry != statuses_.end() && is_fresh(entry->second);
 }
 
 bool job_activity::is_active(const job_id& id) const {
-  const auto entry = readings_.find(id);
-  return entry != readings_.end() && entry->second.active;
+  const auto entry = statuses_.find(id);
+  return entry != statuses_.end() && entry->second.active;
 }
 
-void job_activity::drop_old() {
+void job_activity::evict_stale() {
   const time_point now = runtime_.now();
-  std::erase_if(readings_, [&](const auto& entry) {
-    return !entry.second.under_way && now - entry.second.sent > longest_memory;
+  std::erase_if(statuses_, [&](const auto& entry) {
+    return !entry.second.read_in_progress && now - entry.second.requested_at > max_retention;
   });
 }
 
--- a/src/workers/lease_delegate.cpp
+++ b/src/workers/lease_delegate.cpp
@@ -15,7 +15,7 @@
 constexpr auto max_token_age = seconds(2);
 constexpr duration max_job_age = seconds(5);
 /// How long a heartbeat waits for what its answer needs.
-constexpr auto answer_deadline = milliseconds(1500);
+constexpr auto answer_timeout = milliseconds(1500);
 }  // namespace
 
 lease_delegate::lease_delegate(net::runtime& runtime, kvstore::client& store, const settings& own,
@@ -31,44 +31,44 @@
 
 void lease_delegate::start() { check_periodically(); }
 
-bool lease_delegate::needed() const {
+bool lease_delegate::is_needed() const {
   const auto [leader, reachable] = events_.leader();
   if (leader.empty() || leader == node_ || reachable) return false;
   return events_.zone_of(leader) != zone_;
 }
 
 bool lease_delegate::is_delegate_for(const worker_heartbeat& heartbeat) const {
-  return needed() && heartbeat.pool.zone == zone_;
+  return is_needed() && heartbeat.pool.zone == zone_;
 }
 
 bool lease_delegate::token_confirmed() const {
-  return record_.says_active() && runtime_.now() - token_confirmed_at_ < max_token_age;
+  return record_.is_active() && runtime_.now() - token_confirmed_at_ < max_token_age;
 }
 
 void lease_delegate::handle(worker_heartbeat heartbeat, net::reply_fn reply) {
   pending_.push_back({.heartbeat = std::move(heartbeat),
                       .reply = std::move(reply),
-                      .deadline = runtime_.now() + answer_deadline});
-  runtime_.after(answer_deadline, guard_.wrap([this] { answer_pending(); }));
+                      .deadline = runtime_.now() + answer_timeout});
+  runtime_.after(answer_timeout, guard_.wrap([this] { answer_pending(); }));
   confirm_token();
   for (const auto& task : pending_.back().heartbeat.tasks) jobs_.refresh(task.job);
   answer_pending();
 }
 
 void lease_delegate::confirm_token() {
-  if (confirmation_under_way_ || runtime_.now() - token_confirmed_at_ < max_token_age / 2) return;
-  confirmation_under_way_ = true;
+  if (confirmation_in_progress_ || runtime_.now() - token_confirmed_at_ < max_token_age / 2) return;
+  confirmation_in_progress_ = true;
   store_.get(leadership::leader_key,
-             guard_.wrap([this](const kvstore::result& answer) { token_read(answer); }));
+             guard_.wrap([this](const kvstore::result& answer) { on_token_read(answer); }));
 }
 
-void lease_delegate::token_read(const kvstore::result& answer) {
-  confirmation_under_way_ = false;
+void lease_delegate::on_token_read(const kvstore::result& answer) {
+  confirmation_in_progress_ = false;
   if (answer.ok() && !answer.entries.empty()) {
     const auto& leader = answer.entries.front();
     token_confirmed_at_ = answer.sent;
-    record_.leader_confirmed(fencing_token(kvstore::number_field(leader.value, "token")),
-                             leader.version, [this] { answer_pending(); });
+    record_.activate(fencing_token(kvstore::number_field(leader.value, "token")), leader.version,
+                     [this] { answer_pending(); });
   }
   answer_pending();
 }
@@ -92,12 +92,12 @@
   for (auto& [reply, answer] : due) reply(std::move(answer));
 }
 
-/// Empty while the answer still waits for a reading.
+/// Empty while the answer still waits for a read of the store.
 std::optional<net::response> lease_delegate::answer_to(const pending_answer& pending) const {
   bool confirmed = token_confirmed();
   std::vector<command> commands;
   for (const auto& task : pending.heartbeat.tasks) {
-    confirmed = confirmed && jobs_.is_recent(task.job);
+    confirmed = confirmed && jobs_.is_fresh(task.job);
     if (!jobs_.is_active(task.job) && task.phase != job_store::attempt_phase::exited)
       commands.push_back({command_type::stop, task.job, task.task, task.number, {}});
   }
@@ -113,9 +113,9 @@
   check_timer_.start(check_period, [this] { check_periodically(); });
   const auto [leader, reachable] = events_.leader();
   // Nobody may need us any more, or this process has just started.
-  const bool superfluous = reachable || leader.empty() || leader == node_;
-  if (record_.may_say_active() && pending_.empty() && superfluous) record_.leave();
-  jobs_.drop_old();
+  const bool not_needed = reachable || leader.empty() || leader == node_;
+  if (record_.may_be_active() && pending_.empty() && not_needed) record_.deactivate();
+  jobs_.evict_stale();
 }
 
 }  // namespace gingerdrift::workers
--- a/src/workers/lease_delegate.hpp
+++ b/src/workers/lease_delegate.hpp
@@ -51,7 +51,7 @@
   /// Begins to check, once a second, whether its record still needs to say that it acts.
   void start();
   /// Whether there is a leader in another zone that this controller doesn't hear.
-  bool needed() const;
+  bool is_needed() const;
   /// Whether the heartbeat is of a worker in our zone, cut off from the leader with us.
   bool is_delegate_for(const worker_heartbeat& heartbeat) const;
   /// Answers with 200 once everything is confirmed, or with 503 when it can't be.
@@ -66,7 +66,7 @@
   };
   bool token_confirmed() const;
   void confirm_token();
-  void token_read(const kvstore::result& answer);
+  void on_token_read(const kvstore::result& answer);
   void answer_pending();
   std::optional<net::response> answer_to(const pending_answer& pending) const;
   void check_periodically();
@@ -79,7 +79,7 @@
   delegation_record record_;
   job_activity jobs_;
   time_point token_confirmed_at_{};  // when the store was asked for the reading that confirmed it
-  bool confirmation_under_way_ = false;
+  bool confirmation_in_progress_ = false;
   std::vector<pending_answer> pending_;
   net::timer check_timer_;
   callback_guard guard_;
--- a/src/workers/lease_expiry.cpp
+++ b/src/workers/lease_expiry.cpp
@@ -4,13 +4,13 @@
 
 namespace {
 /// Clocks drift apart by 0.05% at most.
-constexpr double clock_drift = 0.001;
+constexpr double max_clock_drift = 0.001;
 constexpr auto lease_margin = milliseconds(500);
 }  // namespace
 
 void lease_expiry::check(time_point delegates_inactive_since, time_point confirmed_at) {
   const duration lease =
-      from_seconds(to_seconds(options_.worker_lease) * (1 + clock_drift)) + lease_margin;
+      from_seconds(to_seconds(options_.worker_lease) * (1 + max_clock_drift)) + lease_margin;
   // A deposed leader may have answered a worker up to the end of its grace.
   if (confirmed_at < term_start_ + options_.renewal_grace + lease) return;
   // A delegate in a cut-off zone may have answered it until it said that it no longer does.
--- a/src/workers/machine_reachability.cpp
+++ b/src/workers/machine_reachability.cpp
@@ -12,12 +12,12 @@
 constexpr const char* probe_path = "/show";
 constexpr auto probe_deadline = seconds(2);
 /// Between two probes of the same machine, at least.
-constexpr auto probe_pause = seconds(2);
+constexpr auto min_probe_interval = seconds(2);
 constexpr int status_ok = 200;
 
 const char* text_of(unreachable_sign sign) {
   switch (sign) {
-    case unreachable_sign::lease_ran_out:
+    case unreachable_sign::lease_expired:
       return "lease_expired";
     case unreachable_sign::start_not_taken:
       break;
@@ -26,11 +26,11 @@
 }
 }  // namespace
 
-void machine_reachability::suspect(worker& suspected, unreachable_sign sign) {
-  if (suspected.unreachable_since) return;
-  spdlog::info("machine_unreachable machine={} sign={}", suspected.name, text_of(sign));
-  suspected.unreachable_since = runtime_.now();
-  suspected.unanswered_probes = 0;
+void machine_reachability::mark_unreachable(worker& target, unreachable_sign sign) {
+  if (target.unreachable_since) return;
+  spdlog::info("machine_unreachable machine={} sign={}", target.name, text_of(sign));
+  target.unreachable_since = runtime_.now();
+  target.unanswered_probes = 0;
   events_.changed();
 }
 
@@ -38,34 +38,35 @@
   const time_point now = runtime_.now();
   std::vector<worker*> due;
   for (auto& [name, candidate] : workers_.all()) {
-    if (candidate.unreachable_since && candidate.heard_in_term && now >= candidate.next_probe)
+    if (candidate.unreachable_since && candidate.reported_in_term && now >= candidate.next_probe)
       due.push_back(&candidate);
   }
   // The longest unasked first: a zone of a thousand machines that is back takes several rounds.
   std::stable_sort(due.begin(), due.end(),
                    [](const worker* a, const worker* b) { return a->next_probe < b->next_probe; });
   if (due.size() > probes_per_round_) due.resize(probes_per_round_);
-  for (auto* suspected : due) {
-    suspected->next_probe = now + probe_pause;
-    send_probe(*suspected);
+  for (auto* target : due) {
+    target->next_probe = now + min_probe_interval;
+    send_probe(*target);
   }
 }
 
-void machine_reachability::send_probe(const worker& suspected) {
+void machine_reachability::send_probe(const worker& target) {
   runtime_.call(
-      suspected.address, {"GET", probe_path, ""}, probe_deadline,
-      guard_.wrap([this, machine = suspected.name,
-                   incarnation = suspected.latest.incarnation](const net::response& reply) {
-        probe_answered(machine, incarnation, reply);
+      target.address, {"GET", probe_path, ""}, probe_deadline,
+      guard_.wrap([this, machine = target.name,
+                   incarnation = target.latest_position.incarnation](const net::response& reply) {
+        on_probe_response(machine, incarnation, reply);
       }));
 }
 
 /// Only that it answers counts: its list may be older than a heartbeat that has arrived since.
-void machine_reachability::probe_answered(const machine_name& machine,
-                                          worker_incarnation incarnation,
-                                          const net::response& reply) {
+void machine_reachability::on_probe_response(const machine_name& machine,
+                                             worker_incarnation incarnation,
+                                             const net::response& reply) {
   worker* probed = workers_.find(machine);
-  if (probed == nullptr || !probed->unreachable_since || probed->latest.incarnation != incarnation)
+  if (probed == nullptr || !probed->unreachable_since ||
+      probed->latest_position.incarnation != incarnation)
     return;
   if (reply.status != status_ok) {
     ++probed->unanswered_probes;
--- a/src/workers/machine_reachability.hpp
+++ b/src/workers/machine_reachability.hpp
@@ -12,7 +12,7 @@
 
 /// A sign that the answers to a machine's heartbeats don't reach it.
 enum class unreachable_sign : std::uint8_t {
-  lease_ran_out,    // although its heartbeats were answered
+  lease_expired,    // although its heartbeats were answered
   start_not_taken,  // a later heartbeat does not list what an answer started
 };
 
@@ -29,14 +29,14 @@
         events_(events) {}
 
   /// Nothing is placed on the machine from now on; does nothing if it is in doubt already.
-  void suspect(worker& suspected, unreachable_sign sign);
+  void mark_unreachable(worker& target, unreachable_sign sign);
   /// Probes machines in doubt, in turn; one that answers is used again.
   void probe();
 
  private:
-  void send_probe(const worker& suspected);
-  void probe_answered(const machine_name& machine, worker_incarnation incarnation,
-                      const net::response& reply);
+  void send_probe(const worker& target);
+  void on_probe_response(const machine_name& machine, worker_incarnation incarnation,
+                         const net::response& reply);
 
   net::runtime& runtime_;
   worker_table& workers_;
--- a/src/workers/reconciler.cpp
+++ b/src/workers/reconciler.cpp
@@ -33,10 +33,10 @@
   worker& sender = workers_.find_or_add(heartbeat.machine);
   note_contact(sender, heartbeat);
   // An old heartbeat has its list's age: it proves nothing and gets no commands.
-  if (!sender.is_outdated_by(heartbeat) || !ready_) return encode_commands(token_, {});
+  if (!sender.is_outdated_by(heartbeat) || !reconciling_) return encode_commands(token_, {});
   const bool accepted_tasks = accepts_tasks(sender);
   accept(sender, heartbeat);
-  if (heartbeat.incarnation > sender.latest.incarnation)
+  if (heartbeat.incarnation > sender.latest_position.incarnation)
     begin_incarnation(sender, heartbeat.incarnation);
   const std::vector<command> commands = reconcile(sender, heartbeat);
   if (accepts_tasks(sender) != accepted_tasks) events_.changed();
@@ -48,7 +48,7 @@
 void reconciler::note_contact(worker& sender, const worker_heartbeat& heartbeat) {
   sender.last_lease_renewal = runtime_.now();
   sender.address = heartbeat.address;
-  if (sender.heard_in_term && sender.pool == heartbeat.pool) return;
+  if (sender.reported_in_term && sender.pool == heartbeat.pool) return;
   sender.pool = heartbeat.pool;
   sender.view.reset();
   // Where its tasks run was not known before.
@@ -61,9 +61,9 @@
   const time_point now = runtime_.now();
   // Nobody could use it while it was overdue: it is given its time to be found useful again.
   if (heartbeat_overdue(sender)) sender.idle_since = now;
-  sender.heard_in_term = true;
+  sender.reported_in_term = true;
   sender.last_heartbeat = now;
-  sender.latest.sequence = heartbeat.sequence;
+  sender.latest_position.sequence = heartbeat.sequence;
   sender.token = heartbeat.token;
   sender.new_in_term = !heartbeat.token.exists() && events_.rented_in_term(heartbeat.machine);
   sender.termination_notice = heartbeat.termination_notice;
@@ -73,9 +73,9 @@
 void reconciler::begin_incarnation(worker& sender, worker_incarnation incarnation) {
   // Its lease expired although its heartbeats arrive here. Of a machine known for long this is a
   // sign.
-  if (sender.latest.incarnation.exists())
-    reachability_.suspect(sender, unreachable_sign::lease_ran_out);
-  sender.latest.incarnation = incarnation;
+  if (sender.latest_position.incarnation.exists())
+    reachability_.mark_unreachable(sender, unreachable_sign::lease_expired);
+  sender.latest_position.incarnation = incarnation;
   const auto held = sender.attempts;
   for (const auto& [id, task] : held) {
     auto* job = jobs_.find(id);
@@ -86,11 +86,11 @@
   }
 }
 
-std::string reconciler::answer(const worker_heartbeat& heartbeat) {
+std::string reconciler::answer_deferred(const worker_heartbeat& heartbeat) {
   worker* sender = find(heartbeat.machine);
   // Only while it is the newest: nothing was sent to this worker since, so what it lists is still
   // what it has.
-  if (sender == nullptr || sender->latest != position_of(heartbeat))
+  if (sender == nullptr || sender->latest_position != position_of(heartbeat))
     return encode_commands(token_, {});
   sender->last_lease_renewal = runtime_.now();
   return encode_commands(token_, reconcile(*sender, heartbeat));
@@ -110,7 +110,7 @@
 void reconciler::place(job_store::job& job, std::uint32_t task, const machine_name& machine,
                        attempt_number number) {
   worker& holder = workers_.all().at(machine);
-  job.place_attempt(task, number, machine, holder.latest.incarnation);
+  job.place_attempt(task, number, machine, holder.latest_position.incarnation);
   jobs_.mark_placed(job, task);
   workers_.hold(holder, {job.spec().id, task});
   holder.view.reset();
--- a/src/workers/reconciler.hpp
+++ b/src/workers/reconciler.hpp
@@ -34,12 +34,12 @@
   /// Indexes a job's stored attempts after a failover.
   void adopt(job_store::job& job);
   /// From here on, heartbeats are acted upon; before, they are only answered.
-  void ready() { ready_ = true; }
+  void start_reconciling() { reconciling_ = true; }
 
   /// Returns the answer to the heartbeat.
   std::string handle(const worker_heartbeat& heartbeat);
   /// The answer to a heartbeat that was held back for a moment: with what was decided since.
-  std::string answer(const worker_heartbeat& heartbeat);
+  std::string answer_deferred(const worker_heartbeat& heartbeat);
   /// Places a new attempt on a known machine; throws std::out_of_range on any other. It is started
   /// once it is stored.
   void place(job_store::job& job, std::uint32_t task, const machine_name& machine,
@@ -86,7 +86,7 @@
   reconciler_options options_;
   fencing_token token_;
   hooks events_;
-  bool ready_ = false;
+  bool reconciling_ = false;
   worker_table workers_;
   task_stopper stopper_;
   attempt_outcomes outcomes_;
--- a/src/workers/task_stopper.cpp
+++ b/src/workers/task_stopper.cpp
@@ -46,8 +46,8 @@
   if (!events_.lease_valid()) return;
   for (const auto& [machine, stops] : stops_by_machine) {
     const worker* receiver = workers_.find(machine);
-    if (receiver == nullptr || !receiver->heard_in_term) continue;
-    const std::string body = encode_commands(token_, stops, receiver->latest.incarnation);
+    if (receiver == nullptr || !receiver->reported_in_term) continue;
+    const std::string body = encode_commands(token_, stops, receiver->latest_position.incarnation);
     runtime_.call(receiver->address, {"POST", commands_path, body}, direct_call_deadline,
                   [](const net::response&) {
                     // The reply may overtake a heartbeat: only heartbeats are proof.
--- a/src/workers/worker.hpp
+++ b/src/workers/worker.hpp
@@ -40,9 +40,9 @@
   machine_name name;
   std::string address;
   admission::pool pool;
-  bool heard_in_term = false;  // a heartbeat was accepted in this term
-  heartbeat_position latest;   // of the accepted heartbeats
-  fencing_token token;         // the newest that the worker has heard
+  bool reported_in_term = false;       // a heartbeat was accepted in this term
+  heartbeat_position latest_position;  // of the accepted heartbeats
+  fencing_token token;                 // the newest that the worker has heard
   time_point last_heartbeat{};
   time_point last_lease_renewal{};  // when its lease was last renewed, at the latest
   std::optional<duration> termination_notice;
@@ -51,7 +51,7 @@
   bool runs_unknown_tasks = false;
   /// Exits dealt with, and the change of the record that has to be stored before the worker may
   /// forget them.
-  std::map<attempt_id, std::uint64_t> exits;
+  std::map<attempt_id, std::uint64_t> handled_exits;
   std::deque<cached_image> images;  // most recently used first
   std::set<job_id> failed_jobs;     // ended with an error here, none done since
   /// Set while it is quarantined: several jobs failed here and nowhere else.
@@ -67,10 +67,10 @@
 
   /// Whether the heartbeat is newer than all that were accepted in this term.
   bool is_outdated_by(const worker_heartbeat& heartbeat) const {
-    return !heard_in_term || position_of(heartbeat) > latest;
+    return !reported_in_term || position_of(heartbeat) > latest_position;
   }
   /// It is to go, quarantined or unreachable: nothing new is started there.
-  bool closed_to_starts() const {
+  bool is_unschedulable() const {
     return termination_notice || quarantined_since || unreachable_since;
   }
   /// An image is fetched there: it is the last that a cache of that size evicts.
--- a/src/workers/worker_table.cpp
+++ b/src/workers/worker_table.cpp
@@ -45,7 +45,7 @@
 }
 
 bool worker_table::heartbeat_overdue(const worker& candidate) const {
-  return !candidate.heard_in_term ||
+  return !candidate.reported_in_term ||
          runtime_.now() - candidate.last_heartbeat > heartbeat_interval_ * overdue_intervals;
 }
 
@@ -53,7 +53,7 @@
 /// late copy from an earlier term, or its machine may hear nothing. One that was rented in this
 /// term has no earlier heartbeats, and is not kept waiting for a second one.
 bool worker_table::accepts_tasks(const worker& candidate) const {
-  if (heartbeat_overdue(candidate) || candidate.closed_to_starts()) return false;
+  if (heartbeat_overdue(candidate) || candidate.is_unschedulable()) return false;
   if (candidate.runs_unknown_tasks) return false;
   return candidate.token == token_ || candidate.new_in_term;
 }
--- a/tests/leader_parts.hpp
+++ b/tests/leader_parts.hpp
@@ -45,7 +45,7 @@
   leader_parts() {
     state.limit(wide_limits);
     machines.set_types(types());
-    workers.ready();
+    workers.start_reconciling();
   }
   static std::vector<admission::machine_type> types() {
     admission::machine_type type;
--- a/tests/reconciler_test.cpp
+++ b/tests/reconciler_test.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 constexpr fencing_token our_token(7);
-constexpr fencing_token former_token(6);
+constexpr fencing_token previous_token(6);
 const job_id first_job("run-1");
 const machine_name machine("m");
 constexpr std::uint64_t incarnation = 3;
@@ -77,7 +77,7 @@
     attempt.phase = attempt_phase::sent;
     job.restore_attempt(0, attempt);
     under_test.adopt(jobs.insert(job));
-    under_test.ready();
+    under_test.start_reconciling();
   }
   static workers::reconciler_options settings() {
     return {.heartbeat_interval = seconds(1),
@@ -129,7 +129,7 @@
 }  // namespace
 
 TEST_F(reconciler, heartbeat_with_an_older_token_proves_nothing_of_a_task_never_listed) {
-  const auto answer = under_test.handle(heartbeat(incarnation, 5, former_token));
+  const auto answer = under_test.handle(heartbeat(incarnation, 5, previous_token));
   EXPECT_TRUE(holds_first_attempt());
   EXPECT_FALSE(has_start(answer));
 }
@@ -137,7 +137,7 @@
 // Guards against: an earlier leader had proven a start gone, and given its room away, before that
 // was stored; its successor sent the start again, and the team was over its limit.
 TEST_F(reconciler, start_of_an_earlier_leader_is_never_sent_again) {
-  EXPECT_FALSE(has_start(under_test.handle(heartbeat(incarnation, 5, former_token))));
+  EXPECT_FALSE(has_start(under_test.handle(heartbeat(incarnation, 5, previous_token))));
   EXPECT_TRUE(holds_first_attempt()) << "it may have been taken after that heartbeat";
   EXPECT_FALSE(has_start(under_test.handle(heartbeat(incarnation, 6, our_token))));
   EXPECT_FALSE(holds_first_attempt()) << "under our token it can't be taken any more";
@@ -145,7 +145,7 @@
 
 TEST_F(reconciler, task_that_left_the_heartbeats_is_lost_only_under_our_token) {
   under_test.handle(running_heartbeat(5));
-  under_test.handle(heartbeat(incarnation, 6, former_token));
+  under_test.handle(heartbeat(incarnation, 6, previous_token));
   EXPECT_TRUE(holds_first_attempt());
   under_test.handle(heartbeat(incarnation, 7, our_token));
   EXPECT_FALSE(holds_first_attempt());
@@ -159,13 +159,13 @@
 }
 
 TEST_F(reconciler, newer_incarnation_is_loss_evidence) {
-  under_test.handle(heartbeat(next_incarnation, 1, former_token));
+  under_test.handle(heartbeat(next_incarnation, 1, previous_token));
   EXPECT_FALSE(holds_first_attempt());
 }
 
 TEST_F(reconciler, lease_expires_only_after_the_grace_of_a_deposed_leader) {
   const time_point start = net.now();
-  under_test.handle(heartbeat(incarnation, 5, former_token));
+  under_test.handle(heartbeat(incarnation, 5, previous_token));
   net.run_for(seconds(8));
   under_test.expire_leases(start, net.now());
   EXPECT_TRUE(holds_first_attempt()) << "a deposed leader may have kept it alive";
@@ -247,7 +247,7 @@
   auto many_probes = settings();
   many_probes.probes_per_second = 90;
   workers::reconciler zone(runtime, jobs, many_probes, our_token, hooks());
-  zone.ready();
+  zone.start_reconciling();
   for (int i = 0; i < machines; ++i) {
     const std::string host = "n-" + std::to_string(100000 + i);
     for (const auto& [number, sequence] :
@@ -273,12 +273,12 @@
 
 TEST_F(reconciler, gang_member_that_waited_in_vain_counts_only_under_our_token) {
   // The member may have been started again under its number since.
-  auto listing = heartbeat(incarnation, 5, former_token);
-  listing.tasks = {task_status(attempt_phase::exited, exit_cause::alone)};
+  auto listing = heartbeat(incarnation, 5, previous_token);
+  listing.tasks = {task_status(attempt_phase::exited, exit_cause::gang_incomplete)};
   EXPECT_FALSE(acknowledges_exit(under_test.handle(listing)));
   EXPECT_TRUE(holds_first_attempt());
   listing = heartbeat(incarnation, 6, our_token);
-  listing.tasks = {task_status(attempt_phase::exited, exit_cause::alone)};
+  listing.tasks = {task_status(attempt_phase::exited, exit_cause::gang_incomplete)};
   under_test.handle(listing);
   EXPECT_FALSE(holds_first_attempt());
 }
@@ -310,7 +310,7 @@
 }
 
 TEST_F(reconciler, late_copy_from_an_earlier_term_makes_no_machine_usable) {
-  under_test.handle(heartbeat(incarnation, 5, former_token));
+  under_test.handle(heartbeat(incarnation, 5, previous_token));
   EXPECT_FALSE(accepts_tasks());
   EXPECT_TRUE(holds_first_attempt());
   under_test.handle(running_heartbeat(6));
