--- a/src/workers/attempt_outcomes.cpp
+++ b/src/workers/attempt_outcomes.cpp
@@ -55,8 +55,9 @@
   const bool already_stopping =
       std::any_of(job.attempts().begin(), job.attempts().end(),
                   [](const auto& entry) { return entry.second.stopping; });
-  // A gang that has not started takes a replacement with the same attempt number. One that has
-  // started, or whose member ended by itself, goes on from its checkpoint as a new attempt.
+  // If the gang has not started, only the missing member is placed again, with the same attempt
+  // number. Otherwise, or if a member ended by itself, the whole gang is stopped and resumes from
+  // its checkpoint as a new attempt.
   if (already_stopping || (replaceable && !job.gang_started())) return;
   stopper_.stop_all(job, duration::zero());
 }
--- a/src/workers/attempt_outcomes.hpp
+++ b/src/workers/attempt_outcomes.hpp
@@ -8,24 +8,26 @@
 
 namespace gingerdrift::workers {
 
-/// What follows when an attempt has ended or is proven gone. Until then it holds its place, its
-/// quota and its zone.
+/// Applies the consequences of an attempt that has ended or is proven gone: releases its machine
+/// and updates its job. Until then the attempt keeps its machine, its quota and its zone occupied.
 class attempt_outcomes {
  public:
   attempt_outcomes(job_store::job_table& jobs, worker_table& workers, task_stopper& stopper,
                    fencing_token token, const reconciler_hooks& events)
       : jobs_(jobs), workers_(workers), stopper_(stopper), token_(token), events_(events) {}
 
-  /// The task is done; the job too, if it was the last one.
+  /// Marks the task as done, and the job as well if no other task is left.
   void complete_task(job_store::job& job, std::uint32_t task);
-  /// The attempt of the task, if there is one, is proven gone.
+  /// Ends the current attempt of the task, which is proven gone. Does nothing if there is none.
   void mark_lost(job_store::job& job, std::uint32_t task, loss_evidence evidence);
-  /// All attempts on a machine are proven gone.
+  /// Ends all attempts on a machine, which are proven gone.
   void mark_all_lost(const worker& holder, loss_evidence evidence);
-  /// The attempt gives up its place. To be followed by update_job_after_attempt_end().
+  /// Removes the attempt from its machine and its job. The caller has to call
+  /// update_job_after_attempt_end() afterwards.
   void end_attempt(job_store::job& job, std::uint32_t task);
-  /// What an attempt's end means for the others of its job. `replaceable`: a member of a gang
-  /// that has not started may be replaced while the others stay.
+  /// Updates a job one of whose attempts has ended: finalizes it, or stops the remaining members of
+  /// a gang. `replaceable`: if the gang has not started, the missing member may be replaced while
+  /// the other members stay.
   void update_job_after_attempt_end(job_store::job& job, bool replaceable);
 
  private:
--- a/src/workers/codec.cpp
+++ b/src/workers/codec.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// The fields of a heartbeat on the wire.
+/// Field names of a heartbeat on the wire.
 namespace heartbeat_field {
 constexpr const char* machine = "host";
 constexpr const char* address = "addr";
@@ -27,15 +27,15 @@
 constexpr const char* tasks = "pieces";
 }  // namespace heartbeat_field
 
-/// The fields of a task in a heartbeat.
+/// Field names of a task in a heartbeat.
 namespace task_field {
 constexpr const char* id = "piece";  // JOB/INDEX
 constexpr const char* attempt = "try";
 constexpr const char* state = "status";
-constexpr const char* cause = "cause";  // optional, of a task that has exited
+constexpr const char* cause = "cause";  // optional; read only if the task has exited
 }  // namespace task_field
 
-/// The fields of an answer or a direct call, and of each command there.
+/// Field names of an answer or a direct call, and of the commands in it.
 namespace command_field {
 constexpr const char* token = "baton";
 constexpr const char* incarnation = "shift";  // optional
@@ -43,11 +43,11 @@
 constexpr const char* type = "verb";
 constexpr const char* task = "piece";
 constexpr const char* attempt = "try";
-constexpr const char* grace_s = "mercyS";  // of a stop
+constexpr const char* grace_s = "mercyS";  // of a stop command
 constexpr const char* leader = "boss";     // of a redirect
 }  // namespace command_field
 
-/// A value of an enumeration and its name on the wire.
+/// An enumerator and its name on the wire.
 template <typename enumeration>
 struct wire_name {
   const char* name;
@@ -93,7 +93,7 @@
       ->name;
 }
 
-/// Ends the decoding of a heartbeat. It does not leave this file.
+/// Thrown to abort the decoding of a malformed heartbeat, and caught within this file.
 class malformed_heartbeat : public std::exception {};
 
 json parse_json(const std::string& text) {
--- a/src/workers/delegation_record.cpp
+++ b/src/workers/delegation_record.cpp
@@ -16,10 +16,10 @@
 delegation_record::delegation_record(kvstore::client& store, node_name node, zone_name zone)
     : store_(store), node_(std::move(node)), zone_(std::move(zone)) {}
 
-/// A new leader finds the record as it stands: while that says that this delegate acts, a change
-/// of leader needs no new one. Writing it again first once cost half a zone its leases: the old
-/// leader crashed behind a cut, and its successor's first second found nobody to answer the
-/// workers.
+/// An active record is not written again when the leader changes, since the new leader reads the
+/// existing one. The delegate can't answer workers until such a write completes. When it was
+/// written again, half a zone lost its leases after the leader had crashed while the zone was cut
+/// off: nobody answered the workers during the first second of the successor's term.
 void delegation_record::activate(fencing_token token, store_revision leader_version,
                                  std::function<void()> written) {
   token_ = token;
@@ -44,8 +44,9 @@
         [this](bool stored) { state_ = stored ? state::inactive : state::possibly_active; });
 }
 
-/// Every write of the record is conditional on its version: one that was given up on must not be
-/// applied after a later one, and say that this delegate doesn't act while it does.
+/// Every write is conditional on the record's current version. Otherwise a write that timed out
+/// could be applied after a later one, and the record could be inactive while this delegate is
+/// active.
 void delegation_record::write(std::vector<kvstore::condition> conditions, kvstore::json value,
                               std::function<void(bool stored)> done) {
   const std::string key = delegate_key(node_);
--- a/src/workers/delegation_record.hpp
+++ b/src/workers/delegation_record.hpp
@@ -9,46 +9,55 @@
 
 namespace gingerdrift::workers {
 
-/// Where a lease delegate says that it acts; the leader reads it before it takes any lease for
-/// expired.
+/// Returns the key under which a lease delegate records whether it is active. The leader reads
+/// these records before it treats any worker lease as expired.
 std::string delegate_key(const node_name& node);
-/// What the keys of all delegates' records begin with.
+/// Common prefix of the keys of all delegates' records.
 extern const char* const delegate_key_prefix;
 
-/// The fields of a delegate's record.
+/// Field names of a delegate's record.
 namespace delegation_field {
-inline constexpr const char* active = "active";  // it may answer workers of its zone
-inline constexpr const char* token = "token";    // only while it is active
+/// Whether the delegate may answer workers of its zone.
+inline constexpr const char* active = "active";
+/// Token of the leader, present only while the delegate is active.
+inline constexpr const char* token = "token";
+/// Zone of the delegate.
 inline constexpr const char* zone = "zone";
 }  // namespace delegation_field
 
-/// A controller's own record of whether it acts as lease delegate, as it stands in the store.
+/// Maintains the record in the store that says whether this controller is active as a lease
+/// delegate. The controller may answer workers only while the record says so.
 class delegation_record {
  public:
-  /// `node`, `zone`: of this controller. Its record may stand from a former process.
+  /// `node` and `zone` are those of this controller. A previous process of this node may have left
+  /// a record in the store.
   delegation_record(kvstore::client& store, node_name node, zone_name zone);
 
-  /// The token of the latest leader that the store confirmed.
+  /// Returns the token of the latest leader that the store confirmed.
   fencing_token token() const { return token_; }
-  /// The record says that this delegate acts: it may answer workers.
+  /// Reports whether the stored record is known to be active, so that this delegate may answer
+  /// workers.
   bool is_active() const { return state_ == state::active; }
-  /// The record may say so: from a former process, or by an unanswered write.
+  /// Reports whether the stored record may be active, be it from a previous process or by a write
+  /// that was not answered.
   bool may_be_active() const { return state_ != state::inactive; }
 
-  /// The store confirmed that leader, by a key of that version. Has the record say that this
-  /// delegate acts, if it doesn't yet; `written` runs once that is answered, whatever the answer.
+  /// Takes over the token of the leader that the store confirmed. Writes an active record, unless
+  /// the record is active already or a write is in progress. The write succeeds only if the leader
+  /// key still has version `leader_version`. `written` runs after the write, whether it succeeded
+  /// or not; it does not run if nothing was written.
   void activate(fencing_token token, store_revision leader_version, std::function<void()> written);
-  /// The record must not say for longer than needed that the delegate acts: it keeps the leader
-  /// waiting.
+  /// Writes an inactive record, unless a write is in progress. To be called as soon as the delegate
+  /// is no longer needed: an active record keeps the leader from expiring leases.
   void deactivate();
 
  private:
   enum class state : std::uint8_t {
     inactive,
-    possibly_active,  // a write was not answered, or a former process left it
-    activating,       // the write that says so is under way
+    possibly_active,  // a write failed or was not answered, or a previous process left a record
+    activating,       // the write of the active record is in progress
     active,
-    deactivating,  // the write that takes it back is under way
+    deactivating,  // the write of the inactive record is in progress
   };
   bool write_in_progress() const {
     return state_ == state::activating || state_ == state::deactivating;
--- a/src/workers/exit_handler.cpp
+++ b/src/workers/exit_handler.cpp
@@ -5,7 +5,8 @@
 namespace gingerdrift::workers {
 
 namespace {
-/// How often each member of a gang, on average, may wait in vain before the gang is placed anew.
+/// Limit for the waits of a gang's members that end because the gang is incomplete, as an average
+/// per member. Beyond it the whole gang is stopped and placed again.
 constexpr std::uint32_t max_gang_waits_per_member = 4;
 
 spdlog::level::level_enum log_level_of(exit_cause cause) {
@@ -30,8 +31,9 @@
   if (cause == exit_cause::unknown) failures_.note_unknown_exit(job);
   outcomes_.end_attempt(job, task);
   await_storage(sender, job, ended);
-  // The others may be fetching still: to stop them would lose their fetches, and where an image
-  // takes longer than a member may wait, a gang that began anew each time once never began at all.
+  // Other members may still be fetching the image, and stopping them would lose that progress. If
+  // fetching takes longer than a member may wait, a gang that is stopped as a whole each time never
+  // starts.
   const bool replaceable = cause == exit_cause::gang_incomplete &&
                            job.count_vain_wait() < max_gang_waits_per_member * job.spec().tasks;
   outcomes_.update_job_after_attempt_end(job, replaceable);
@@ -39,12 +41,13 @@
 
 bool exit_handler::may_acknowledge(const worker& sender, const job_store::job* job,
                                    const task_status& status) {
-  // The job is over and stored, or never was.
+  // The job's end is stored and the job has left the table, or there is no such job or task.
   if (job == nullptr || status.task >= job->spec().tasks) return true;
   const auto& unit = job->units()[job->unit_of(status.task)];
   const auto exit = sender.handled_exits.find({{status.job, status.task}, status.number});
   if (exit != sender.handled_exits.end() && unit.stored >= exit->second) return true;
-  // An exit that an earlier leader dealt with: the record has nothing left to store of it.
+  // The exit was handled by an earlier leader. It may be acknowledged if no change of the record
+  // unit remains to be stored, or if another attempt has replaced the one that exited.
   const auto attempt = job->attempts().find(status.task);
   if (attempt == job->attempts().end()) return !unit.dirty();
   return attempt->second.number != status.number;
--- a/src/workers/exit_handler.hpp
+++ b/src/workers/exit_handler.hpp
@@ -7,21 +7,22 @@
 
 namespace gingerdrift::workers {
 
-/// Exits of attempts, as their workers list them until they are acknowledged.
+/// Handles exits of attempts. A worker lists an exit in its heartbeats until it is acknowledged.
 class exit_handler {
  public:
   exit_handler(attempt_outcomes& outcomes, failure_tracker& failures, fencing_token token)
       : outcomes_(outcomes), failures_(failures), token_(token) {}
 
-  /// The job's present attempt of the task has ended on that worker.
+  /// Handles the exit of the current attempt of a task on that worker.
   void handle(worker& sender, job_store::job& job, std::uint32_t task, exit_cause cause);
-  /// Whether what a listed exit means is stored, so that its worker may forget it. `job`: null
-  /// where it is unknown.
+  /// Reports whether the consequences of a listed exit are stored, so that the exit may be
+  /// acknowledged and its worker stops listing it. `job` is null if it is not in the job table.
   static bool may_acknowledge(const worker& sender, const job_store::job* job,
                               const task_status& status);
 
  private:
-  /// The exit waits in the worker's entry for the change of the record that was marked last.
+  /// Records in the worker's entry that the exit may be acknowledged once the latest change of the
+  /// job's record unit is stored.
   static void await_storage(worker& sender, const job_store::job& job, const attempt_id& attempt);
 
   attempt_outcomes& outcomes_;
--- a/src/workers/failure_tracker.cpp
+++ b/src/workers/failure_tracker.cpp
@@ -7,15 +7,16 @@
 namespace gingerdrift::workers {
 
 namespace {
-/// A job that fails on so many machines is at fault itself.
+/// Number of machines on which a job has to fail before the job itself is considered faulty.
 constexpr std::size_t failing_job_machine_count = 3;
-/// A job that fails everywhere is still tried once a minute: its machines may have been at fault.
+/// A job that fails everywhere is still tried once a minute, because the machines may have caused
+/// the failures.
 constexpr duration max_backoff = seconds(60);
 constexpr std::uint32_t max_backoff_doublings = 5;
-/// After an error that may be the machine's.
+/// Back-off after an error that the machine may have caused.
 constexpr duration machine_error_backoff = milliseconds(500);
 constexpr duration unknown_exit_backoff = seconds(2);
-/// For how long a job passes by a machine on which it failed.
+/// How long a job avoids the machines on which it failed, counted from its last failure.
 constexpr duration error_retention = seconds(45);
 }  // namespace
 
@@ -28,8 +29,8 @@
   const auto verdict = job.record_failure(machine.name, runtime_.now(), policy);
   if (verdict == job_store::failure_verdict::job_fails_everywhere)
     spdlog::info("job_failing job={} round={}", job.spec().id, job.error_rounds());
-  // Jobs that fail elsewhere too say nothing about a machine: two broken jobs that happened to meet
-  // on one would have it returned.
+  // A job that also fails on other machines is no evidence against this one. Otherwise a healthy
+  // machine would be returned to the cloud because two broken jobs happened to run on it.
   if (job.error_rounds() > 0) return;
   if (job.errors().size() > 1) {
     for (const auto& [name, count] : job.errors()) {
@@ -55,8 +56,9 @@
   }
 }
 
-/// The job fails elsewhere too. Two broken jobs that met on one machine first had it returned
-/// before either had been tried on another.
+/// Removes a job that also fails elsewhere from the failures of a machine, and lifts the quarantine
+/// if too few failed jobs remain. Without this, a machine on which two broken jobs ran first was
+/// returned to the cloud before either job had been tried on another machine.
 void failure_tracker::clear_failed_job(worker& machine, const job_id& job) {
   machine.failed_jobs.erase(job);
   if (!machine.quarantined_since ||
--- a/src/workers/failure_tracker.hpp
+++ b/src/workers/failure_tracker.hpp
@@ -8,11 +8,12 @@
 
 namespace gingerdrift::workers {
 
-/// Tells a bad machine from a failing job: a machine that fails several jobs is quarantined; a job
-/// that fails on several machines is held back, longer each time.
+/// Distinguishes broken machines from failing jobs. A machine on which several jobs fail is
+/// quarantined. A job that fails on several machines is delayed, with a back-off that grows each
+/// time.
 class failure_tracker {
  public:
-  /// What the tracker reads and changes. It owns none of them.
+  /// Objects that the tracker reads and changes, but does not own.
   struct services {
     net::runtime& runtime;
     job_store::job_table& jobs;
@@ -20,21 +21,22 @@
     task_stopper& stopper;
     const reconciler_hooks& events;
   };
-  failure_tracker(const services& used, const reconciler_options& settings)
-      : runtime_(used.runtime),
-        jobs_(used.jobs),
-        workers_(used.workers),
-        stopper_(used.stopper),
-        events_(used.events),
+  failure_tracker(const services& context, const reconciler_options& settings)
+      : runtime_(context.runtime),
+        jobs_(context.jobs),
+        workers_(context.workers),
+        stopper_(context.stopper),
+        events_(context.events),
         options_(settings) {}
 
-  /// A task of the job ended with an error on that machine.
+  /// Records that a task of the job ended with an error on that machine.
   void note_error(worker& machine, job_store::job& job);
-  /// A task of some job is done there: the machine works.
+  /// Records that a task succeeded on that machine, which shows that the machine works.
   static void note_success(worker& machine) { machine.failed_jobs.clear(); }
-  /// A task ended for reasons that its worker doesn't know.
+  /// Records that a task of the job ended for an unknown reason.
   void note_unknown_exit(job_store::job& job);
-  /// Jobs try machines on which they failed again after a while: they may be all that fits.
+  /// Lets jobs retry machines on which they failed some time ago, because these may be the
+  /// only machines that fit them.
   void forget_old_failures();
 
  private:
--- a/src/workers/heartbeat_reconciliation.cpp
+++ b/src/workers/heartbeat_reconciliation.cpp
@@ -22,7 +22,8 @@
 
 void heartbeat_reconciliation::reconcile_listed(const task_status& status) {
   apply_status(status);
-  // What the status meant may have ended the job: what follows looks it up again.
+  // apply_status() may have finalized the job and removed it from the table, so the job is looked
+  // up again below.
   if (status.phase == attempt_phase::exited) {
     acknowledge_exit(status);
   } else {
@@ -35,7 +36,7 @@
   if (job == nullptr || status.task >= job->spec().tasks) return;
   const auto entry = job->attempts().find(status.task);
   if (entry == job->attempts().end()) {
-    // A task given up for gone had finished after all: its result is kept.
+    // An attempt that was considered lost has completed the task: the result is kept.
     if (status.cause == exit_cause::done && job->status() == job_status::active &&
         !job->done().contains(status.task))
       services_.outcomes.complete_task(*job, status.task);
@@ -53,8 +54,9 @@
   const auto& current = job.attempts().at(status.task);
   if (!current.seen || current.phase != status.phase) job.invalidate_view();
   const bool exited = status.phase == attempt_phase::exited;
-  // Such an exit may be the one before this very attempt: a member that waited in vain is started
-  // again under its number. Only who has heard us in this term surely speaks of the present one.
+  // A gang member that exits because the gang is incomplete is started again with the same attempt
+  // number, so the exit may belong to the previous start. Only a worker that has received this
+  // term's token certainly reports the current one.
   if (exited && status.cause == exit_cause::gang_incomplete && sender_.token != services_.token)
     return;
   if (exited) {
@@ -70,7 +72,7 @@
   }
 }
 
-/// The worker forgets an exit only once what it means is stored.
+/// Acknowledges an exit once its consequences are stored; until then the worker goes on listing it.
 void heartbeat_reconciliation::acknowledge_exit(const task_status& status) {
   const task_id id{status.job, status.task};
   const auto exit = sender_.handled_exits.find({id, status.number});
@@ -99,25 +101,26 @@
   }
 }
 
-/// The order of the cases matters: each takes for granted that none before it applies.
+/// The order of the checks matters: each one relies on the previous ones not applying.
 heartbeat_reconciliation::missing_attempt heartbeat_reconciliation::classify_missing(
     const job_store::job& job, std::uint32_t task, const job_store::attempt& attempt) const {
-  // The heartbeat is of another incarnation than the one that the attempt was placed on.
+  // The heartbeat comes from another incarnation than the one on which the attempt was placed.
   if (attempt.incarnation != heartbeat_.incarnation) return missing_attempt::no_action;
   if (attempt.seen) return missing_attempt::left_the_heartbeat;
-  // An earlier leader's start that the worker does not have: it may have been proven gone, and
-  // its room given away, before that was stored. Started again, it once took a team over its
+  // An earlier leader placed the attempt. It may have found the attempt to be gone and reassigned
+  // its resources before the loss was stored. Sending the start again has made a team exceed its
   // limit.
   if (attempt.adopted) return missing_attempt::absent_after_failover;
-  // The heartbeat was sent after the answer that could have started it was dropped, and carrying
-  // our token it can't be started by a former leader any more.
+  // An answer that could have started the attempt was dropped by the worker before it sent this
+  // heartbeat. If the heartbeat carries this term's token, no former leader can start the attempt
+  // any more.
   if (attempt.stopping || job.status() != job_status::active) return missing_attempt::never_started;
-  // It was sent in the answer to an earlier heartbeat, and this newer one does not list it: the
-  // worker never took that answer, and drops it should it still come.
+  // The start was sent in the answer to an earlier heartbeat, but this newer one does not list the
+  // attempt. The worker has not received that answer, and drops it if it still arrives.
   const bool sent_before = attempt.sent_after != 0 && attempt.sent_after < heartbeat_.sequence;
   if (sent_before && carries_current_token()) return missing_attempt::start_not_taken;
-  // A start is sent under a lease that is surely held, and only once it is stored: a successor
-  // has to know of it.
+  // A start is sent only while the leader certainly holds its lease, and only once the attempt is
+  // stored, because a successor has to know of it.
   if (services_.events.lease_valid() && job.attempt_stored(task, attempt) &&
       !sender_.is_unschedulable())
     return missing_attempt::startable;
@@ -160,8 +163,8 @@
       {command_type::start, job.spec().id, task, job.attempts().at(task).number, {}});
 }
 
-/// A heartbeat without our token may be older than a start that an earlier leader sent: that a
-/// task is missing there proves nothing.
+/// A heartbeat without this term's token may be older than a start that an earlier leader sent, so
+/// a task that it does not list is not proven lost.
 void heartbeat_reconciliation::mark_lost_if_proven(job_store::job& job, std::uint32_t task,
                                                    loss_evidence evidence) {
   if (carries_current_token()) services_.outcomes.mark_lost(job, task, evidence);
--- a/src/workers/heartbeat_reconciliation.hpp
+++ b/src/workers/heartbeat_reconciliation.hpp
@@ -14,7 +14,7 @@
 
 namespace gingerdrift::workers {
 
-/// What reconciling a heartbeat reads and changes. It owns none of them.
+/// Objects that the reconciliation of a heartbeat reads and changes, but does not own.
 struct reconciliation_services {
   net::runtime& runtime;
   job_store::job_table& jobs;
@@ -22,29 +22,31 @@
   exit_handler& exits;
   machine_reachability& reachability;
   const reconciler_hooks& events;
-  fencing_token token;  // of the present term
+  fencing_token token;  // of the current term
 };
 
-/// Compares the tasks that one heartbeat lists with the attempts that the leader holds for its
-/// worker, and chooses the commands that go into the answer. To be used once.
+/// Compares the tasks listed in one heartbeat with the attempts that the leader has placed on its
+/// worker, and chooses the commands for the answer. Each object serves a single heartbeat.
 class heartbeat_reconciliation {
  public:
-  /// `heartbeat`: the newest of that worker.
+  /// `heartbeat` has to be the newest accepted heartbeat of `sender`.
   heartbeat_reconciliation(const reconciliation_services& services, worker& sender,
                            const worker_heartbeat& heartbeat)
       : services_(services), sender_(sender), heartbeat_(heartbeat) {}
 
+  /// Updates jobs and worker, and returns the commands for the answer. To be called once.
   std::vector<command> run();
 
  private:
-  /// What an attempt is whose worker does not list it.
+  /// State of an attempt that is missing from the heartbeat of its worker. Where a loss_evidence
+  /// has the same name, it describes the case.
   enum class missing_attempt : std::uint8_t {
-    no_action,  // nothing can be said yet, or nothing is to be done
+    no_action,  // nothing is proven yet, or nothing has to be done
     left_the_heartbeat,
     absent_after_failover,
     never_started,
     start_not_taken,
-    startable,
+    startable,  // the start may be sent in this answer
     machine_leaving,
   };
   void reconcile_listed(const task_status& status);
@@ -62,9 +64,10 @@
   const reconciliation_services& services_;
   worker& sender_;
   const worker_heartbeat& heartbeat_;
-  std::set<task_id> listed_;  // our attempts that the heartbeat lists
-  std::map<attempt_id, std::uint64_t>
-      unacknowledged_exits_;  // exits dealt with that it still lists
+  /// Tasks whose current attempts the heartbeat lists.
+  std::set<task_id> listed_;
+  /// Handled exits that the heartbeat still lists; see worker::handled_exits.
+  std::map<attempt_id, std::uint64_t> unacknowledged_exits_;
   std::vector<command> commands_;
 };
 
--- a/src/workers/job_activity.cpp
+++ b/src/workers/job_activity.cpp
@@ -6,13 +6,13 @@
 
 namespace {
 constexpr int status_not_found = 404;
-/// Older readings are dropped.
+/// Age at which a status is removed unless it is refreshed.
 constexpr duration max_retention = seconds(20);
 }  // namespace
 
 job_activity::job_activity(net::runtime& runtime, kvstore::client& store, duration max_age,
-                           std::function<void()> on_refreshed)
-    : runtime_(runtime), store_(store), max_age_(max_age), on_refreshed_(std::move(on_refreshed)) {}
+                           std::function<void()> on_read)
+    : runtime_(runtime), store_(store), max_age_(max_age), on_read_(std::move(on_read)) {}
 
 void job_activity::refresh(const job_id& id) {
   auto& cached = statuses_[id];
@@ -32,10 +32,10 @@
                     job_store::status_name(job_store::job_status::active);
     cached.requested_at = answer.sent;
   } else if (answer.status == status_not_found) {
-    cached.active = false;  // over: its record has moved on
+    cached.active = false;  // the job has ended: its record was moved to the final key
     cached.requested_at = answer.sent;
   }
-  on_refreshed_();
+  on_read_();
 }
 
 bool job_activity::is_fresh(const cached_status& cached) const {
--- a/src/workers/job_activity.hpp
+++ b/src/workers/job_activity.hpp
@@ -9,28 +9,30 @@
 
 namespace gingerdrift::workers {
 
-/// Which jobs are active, by recent readings of their records in the store.
+/// Caches whether jobs are active, as read from their records in the store.
 class job_activity {
  public:
-  /// `max_age`: how old a reading may be when it is used. `on_refreshed`: runs once a reading has
-  /// come or failed.
+  /// `max_age`: age at which a cached status is no longer fresh. `on_read` runs after each
+  /// read of a record, whether it succeeded or failed.
   job_activity(net::runtime& runtime, kvstore::client& store, duration max_age,
-               std::function<void()> on_refreshed);
+               std::function<void()> on_read);
 
-  /// Reads the job's record if the last reading is soon too old, so that most answers need not
-  /// wait for one.
+  /// Reads the job's record if the cached status is older than half of `max_age` and no read
+  /// is in progress. Refreshing early spares most answers the wait for a read.
   void refresh(const job_id& id);
-  /// The reading is young enough to be used.
+  /// Reports whether the cached status of the job is recent enough to be used.
   bool is_fresh(const job_id& id) const;
-  /// By the last reading, however old. A job that was never read is not.
+  /// Reports whether the job was active when its record was last read, however long ago. Returns
+  /// false for a job that was never read.
   bool is_active(const job_id& id) const;
-  /// Forgets readings that nobody has asked for in a while.
+  /// Removes statuses that have not been refreshed for a while.
   void evict_stale();
 
  private:
+  /// Status of one job as last read.
   struct cached_status {
     bool active = false;
-    time_point requested_at{};  // when the store was asked
+    time_point requested_at{};  // when the last successful read was sent
     bool read_in_progress = false;
   };
   bool is_fresh(const cached_status& cached) const;
@@ -39,7 +41,7 @@
   net::runtime& runtime_;
   kvstore::client& store_;
   duration max_age_;
-  std::function<void()> on_refreshed_;
+  std::function<void()> on_read_;
   std::map<job_id, cached_status> statuses_;
   callback_guard guard_;
 };
--- a/src/workers/lease_delegate.cpp
+++ b/src/workers/lease_delegate.cpp
@@ -10,23 +10,24 @@
 constexpr int status_ok = 200;
 constexpr int status_unavailable = 503;
 constexpr auto check_period = seconds(1);
-/// How old a confirmation of the token, or a reading of a job, may be when it is used. Together
-/// with a worker's lease this stays far below the time a cancellation has.
+/// Maximum age of a token confirmation and of a job's status when an answer relies on them. The sum
+/// of each and a worker's lease is far below the time allowed for a cancellation.
 constexpr auto max_token_age = seconds(2);
 constexpr duration max_job_age = seconds(5);
-/// How long a heartbeat waits for what its answer needs.
+/// How long the answer to a heartbeat may wait for the store.
 constexpr auto answer_timeout = milliseconds(1500);
 }  // namespace
 
-lease_delegate::lease_delegate(net::runtime& runtime, kvstore::client& store, const settings& own,
-                               hooks events)
+lease_delegate::lease_delegate(net::runtime& runtime, kvstore::client& store,
+                               const settings& delegate_settings, hooks events)
     : runtime_(runtime),
       store_(store),
-      node_(own.node),
-      zone_(own.zone),
+      node_(delegate_settings.node),
+      zone_(delegate_settings.zone),
       events_(std::move(events)),
       record_(store, node_, zone_),
-      jobs_(runtime, store, std::min(own.max_job_age, max_job_age), [this] { answer_pending(); }),
+      jobs_(runtime, store, std::min(delegate_settings.max_job_age, max_job_age),
+            [this] { answer_pending(); }),
       check_timer_(runtime) {}
 
 void lease_delegate::start() { check_periodically(); }
@@ -88,11 +89,11 @@
     }
   }
   pending_ = std::move(still_pending);
-  // A reply may call back: by now the list is whole again.
+  // Replies may call back into this object, so they run after the list has been updated.
   for (auto& [reply, answer] : due) reply(std::move(answer));
 }
 
-/// Empty while the answer still waits for a read of the store.
+/// Returns the answer to a heartbeat, or nullopt while it still has to wait for the store.
 std::optional<net::response> lease_delegate::answer_to(const pending_answer& pending) const {
   bool confirmed = token_confirmed();
   std::vector<command> commands;
@@ -112,7 +113,8 @@
 void lease_delegate::check_periodically() {
   check_timer_.start(check_period, [this] { check_periodically(); });
   const auto [leader, reachable] = events_.leader();
-  // Nobody may need us any more, or this process has just started.
+  // Either the delegate is no longer needed, or this process has just started and a previous one
+  // may have left an active record.
   const bool not_needed = reachable || leader.empty() || leader == node_;
   if (record_.may_be_active() && pending_.empty() && not_needed) record_.deactivate();
   jobs_.evict_stale();
--- a/src/workers/lease_delegate.hpp
+++ b/src/workers/lease_delegate.hpp
@@ -15,50 +15,55 @@
 
 namespace gingerdrift::workers {
 
-/// The leader's node, empty where none is known, and whether this controller hears of it.
+/// The leader's node, empty if none is known, and whether this controller has contact with it.
 struct leader_contact {
   node_name node;
   bool reachable = false;
 };
 
-/// A controller in a zone that is cut off from the leader keeps the zone's workers alive.
+/// Renews worker leases on behalf of the leader while this controller's zone is cut off from it.
 ///
-/// It starts nothing. It answers with the leader's token only while the store, which belongs to no
-/// zone, confirms that token; only after its own record says that it acts; and only for tasks whose
-/// jobs it has just read. Tasks of jobs that are cancelled or over are stopped.
+/// The delegate starts no tasks. It answers heartbeats with the leader's token only while the
+/// store, which belongs to no zone, confirms that token, only after its own record in the store
+/// says that it is active, and only if it has recently read the jobs of all listed tasks. It stops
+/// tasks of jobs that are no longer active, such as cancelled ones.
 class lease_delegate {
  public:
-  /// What the delegate asks of the controller.
+  /// Queries to the controller.
   struct hooks {
-    /// The leader as this controller knows it.
+    /// Returns the leader that this controller knows.
     std::function<leader_contact()> leader;
-    /// The zone of a controller.
+    /// Returns the zone of a controller.
     std::function<zone_name(const node_name& node)> zone_of;
   };
-  /// Whose delegate it is, and what its answers rely on.
+  /// Identity and limits of the delegate.
   struct settings {
     node_name node;
     zone_name zone;
-    /// How old a reading of a job may be when an answer renews a lease; at most what a cancellation
-    /// has beyond that lease.
+    /// Maximum age of a job's status when an answer renews a lease. A task may run for one more
+    /// worker lease after such an answer, so this may be at most the time allowed for a
+    /// cancellation less that lease.
     duration max_job_age{};
   };
-  lease_delegate(net::runtime& runtime, kvstore::client& store, const settings& own, hooks events);
+  lease_delegate(net::runtime& runtime, kvstore::client& store, const settings& delegate_settings,
+                 hooks events);
   ~lease_delegate() = default;
   lease_delegate(const lease_delegate&) = delete;
   lease_delegate& operator=(const lease_delegate&) = delete;
 
-  /// Begins to check, once a second, whether its record still needs to say that it acts.
+  /// Starts checking once per second whether the delegate is no longer needed and its record can be
+  /// made inactive.
   void start();
-  /// Whether there is a leader in another zone that this controller doesn't hear.
+  /// Reports whether there is a leader in another zone with which this controller has no contact.
   bool is_needed() const;
-  /// Whether the heartbeat is of a worker in our zone, cut off from the leader with us.
+  /// Reports whether this delegate is needed and the heartbeat comes from a worker in its zone.
   bool is_delegate_for(const worker_heartbeat& heartbeat) const;
-  /// Answers with 200 once everything is confirmed, or with 503 when it can't be.
+  /// Answers with 200 once the token and all jobs are confirmed, or with 503 if they are not
+  /// confirmed in time.
   void handle(worker_heartbeat heartbeat, net::reply_fn reply);
 
  private:
-  /// A heartbeat that waits for what its answer needs.
+  /// A heartbeat whose answer waits for reads and writes of the store.
   struct pending_answer {
     worker_heartbeat heartbeat;
     net::reply_fn reply;
@@ -78,7 +83,7 @@
   hooks events_;
   delegation_record record_;
   job_activity jobs_;
-  time_point token_confirmed_at_{};  // when the store was asked for the reading that confirmed it
+  time_point token_confirmed_at_{};  // when the read that confirmed it was sent
   bool confirmation_in_progress_ = false;
   std::vector<pending_answer> pending_;
   net::timer check_timer_;
--- a/src/workers/machine_reachability.cpp
+++ b/src/workers/machine_reachability.cpp
@@ -8,10 +8,10 @@
 namespace gingerdrift::workers {
 
 namespace {
-/// Answered by every worker with the list of its tasks.
+/// Every worker answers a request for this path with the list of its tasks.
 constexpr const char* probe_path = "/show";
 constexpr auto probe_deadline = seconds(2);
-/// Between two probes of the same machine, at least.
+/// Minimum time between two probes of the same machine.
 constexpr auto min_probe_interval = seconds(2);
 constexpr int status_ok = 200;
 
@@ -41,7 +41,8 @@
     if (candidate.unreachable_since && candidate.reported_in_term && now >= candidate.next_probe)
       due.push_back(&candidate);
   }
-  // The longest unasked first: a zone of a thousand machines that is back takes several rounds.
+  // The least recently probed machines come first, because a zone of a thousand machines that is
+  // reachable again takes several rounds.
   std::stable_sort(due.begin(), due.end(),
                    [](const worker* a, const worker* b) { return a->next_probe < b->next_probe; });
   if (due.size() > probes_per_round_) due.resize(probes_per_round_);
@@ -60,7 +61,8 @@
       }));
 }
 
-/// Only that it answers counts: its list may be older than a heartbeat that has arrived since.
+/// The task list in the response is ignored, because it may be older than a heartbeat that has
+/// arrived in the meantime. Only the fact that the worker responded matters.
 void machine_reachability::on_probe_response(const machine_name& machine,
                                              worker_incarnation incarnation,
                                              const net::response& reply) {
--- a/src/workers/machine_reachability.hpp
+++ b/src/workers/machine_reachability.hpp
@@ -10,17 +10,18 @@
 
 namespace gingerdrift::workers {
 
-/// A sign that the answers to a machine's heartbeats don't reach it.
+/// Indication that the answers to a machine's heartbeats don't reach it.
 enum class unreachable_sign : std::uint8_t {
-  lease_expired,    // although its heartbeats were answered
-  start_not_taken,  // a later heartbeat does not list what an answer started
+  lease_expired,    // although the worker's heartbeats were answered
+  start_not_taken,  // a later heartbeat does not list a task that an answer started
 };
 
-/// Machines whose heartbeats arrive, while it is in doubt whether commands get there. Nothing is
-/// placed on them until they answer a probe: arriving heartbeats prove nothing about the way back.
+/// Tracks machines whose heartbeats arrive but which the leader's commands may not reach. No task
+/// is placed on such a machine until it answers a probe: an arriving heartbeat does not prove that
+/// the network works in the opposite direction.
 class machine_reachability {
  public:
-  /// `probes_per_round`: how many machines one call of probe() asks, at most.
+  /// `probes_per_round`: maximum number of machines that one call of probe() contacts.
   machine_reachability(net::runtime& runtime, worker_table& workers, std::size_t probes_per_round,
                        const reconciler_hooks& events)
       : runtime_(runtime),
@@ -28,9 +29,11 @@
         probes_per_round_(probes_per_round),
         events_(events) {}
 
-  /// Nothing is placed on the machine from now on; does nothing if it is in doubt already.
+  /// Excludes the machine from placement until it answers a probe. Does nothing if the machine is
+  /// marked already.
   void mark_unreachable(worker& target, unreachable_sign sign);
-  /// Probes machines in doubt, in turn; one that answers is used again.
+  /// Probes machines that are marked unreachable, the least recently probed first. A machine that
+  /// answers may be used again.
   void probe();
 
  private:
--- a/src/workers/reconciler.cpp
+++ b/src/workers/reconciler.cpp
@@ -32,7 +32,8 @@
 std::string reconciler::handle(const worker_heartbeat& heartbeat) {
   worker& sender = workers_.find_or_add(heartbeat.machine);
   note_contact(sender, heartbeat);
-  // An old heartbeat has its list's age: it proves nothing and gets no commands.
+  // The task list of an outdated heartbeat is outdated too: it proves nothing, and the answer
+  // carries no commands.
   if (!sender.is_outdated_by(heartbeat) || !reconciling_) return encode_commands(token_, {});
   const bool accepted_tasks = accepts_tasks(sender);
   accept(sender, heartbeat);
@@ -43,15 +44,15 @@
   return encode_commands(token_, commands);
 }
 
-/// What counts of every heartbeat, also of one that came late: it is answered, and an answer
-/// renews its worker's lease.
+/// Records what is valid for every heartbeat, including an outdated one: it is answered, and an
+/// answer renews the worker's lease.
 void reconciler::note_contact(worker& sender, const worker_heartbeat& heartbeat) {
   sender.last_lease_renewal = runtime_.now();
   sender.address = heartbeat.address;
   if (sender.reported_in_term && sender.pool == heartbeat.pool) return;
   sender.pool = heartbeat.pool;
   sender.view.reset();
-  // Where its tasks run was not known before.
+  // The pool in which the tasks of this worker run was unknown or has changed.
   for (const auto& [id, task] : sender.attempts) {
     if (auto* job = jobs_.find(id); job != nullptr) job->invalidate_view();
   }
@@ -59,7 +60,8 @@
 
 void reconciler::accept(worker& sender, const worker_heartbeat& heartbeat) {
   const time_point now = runtime_.now();
-  // Nobody could use it while it was overdue: it is given its time to be found useful again.
+  // No task could be placed on the machine while its heartbeats were overdue, so its idle time
+  // restarts now. Otherwise it might be returned before it can be used again.
   if (heartbeat_overdue(sender)) sender.idle_since = now;
   sender.reported_in_term = true;
   sender.last_heartbeat = now;
@@ -69,10 +71,11 @@
   sender.termination_notice = heartbeat.termination_notice;
 }
 
-/// A worker begins a new incarnation when its lease has expired. What ran before is gone.
+/// A worker starts a new incarnation when its lease has expired. The attempts of earlier
+/// incarnations are gone.
 void reconciler::begin_incarnation(worker& sender, worker_incarnation incarnation) {
-  // Its lease expired although its heartbeats arrive here. Of a machine known for long this is a
-  // sign.
+  // The worker's lease expired although its heartbeats arrive. If an earlier incarnation is known,
+  // this indicates that the answers do not reach the worker.
   if (sender.latest_position.incarnation.exists())
     reachability_.mark_unreachable(sender, unreachable_sign::lease_expired);
   sender.latest_position.incarnation = incarnation;
@@ -88,8 +91,8 @@
 
 std::string reconciler::answer_deferred(const worker_heartbeat& heartbeat) {
   worker* sender = find(heartbeat.machine);
-  // Only while it is the newest: nothing was sent to this worker since, so what it lists is still
-  // what it has.
+  // The heartbeat is used only if it is still the newest one. Then no start was sent to the worker
+  // since, and the task list is still valid.
   if (sender == nullptr || sender->latest_position != position_of(heartbeat))
     return encode_commands(token_, {});
   sender->last_lease_renewal = runtime_.now();
--- a/src/workers/reconciler.hpp
+++ b/src/workers/reconciler.hpp
@@ -19,58 +19,64 @@
 
 namespace gingerdrift::workers {
 
-/// The leader's side of the workers: takes heartbeats, reconciles them with the stored attempts,
-/// and answers with commands. It puts its parts together and decides which heartbeats count.
+/// The leader's interface to the workers: takes heartbeats, reconciles them with the stored
+/// attempts and answers with commands. Owns the objects that do this, and decides which heartbeats
+/// are acted upon. Lives for one term.
 class reconciler {
  public:
   using hooks = reconciler_hooks;
-  /// `token`: of the present term, which begins now. The job table outlives the reconciler.
+  /// `token` is that of the current term, which starts now. The runtime and the job table have to
+  /// outlive the reconciler.
   reconciler(net::runtime& runtime, job_store::job_table& jobs, reconciler_options settings,
              fencing_token token, hooks events);
   ~reconciler() = default;
   reconciler(const reconciler&) = delete;
   reconciler& operator=(const reconciler&) = delete;
 
-  /// Indexes a job's stored attempts after a failover.
+  /// Takes over the attempts of a job that an earlier leader stored.
   void adopt(job_store::job& job);
-  /// From here on, heartbeats are acted upon; before, they are only answered.
+  /// Enables reconciliation. Until then heartbeats are answered without commands, and nothing is
+  /// concluded from the tasks that they list.
   void start_reconciling() { reconciling_ = true; }
 
-  /// Returns the answer to the heartbeat.
+  /// Processes a heartbeat and returns the body of the answer.
   std::string handle(const worker_heartbeat& heartbeat);
-  /// The answer to a heartbeat that was held back for a moment: with what was decided since.
+  /// Returns the body of the answer to a heartbeat that was passed to handle() before and whose
+  /// answer was delayed for the next scheduling cycle. It includes commands decided since then.
   std::string answer_deferred(const worker_heartbeat& heartbeat);
-  /// Places a new attempt on a known machine; throws std::out_of_range on any other. It is started
-  /// once it is stored.
+  /// Places a new attempt on a machine, which is started once the attempt is stored. Throws
+  /// std::out_of_range if the machine is unknown.
   void place(job_store::job& job, std::uint32_t task, const machine_name& machine,
              attempt_number number);
-  /// Tells tasks to stop, with that much time to save.
+  /// Stops the tasks of a job. `grace` is the time that each task has to save its state.
   void stop(job_store::job& job, const std::vector<std::uint32_t>& tasks, duration grace) {
     stopper_.stop(job, tasks, grace);
   }
-  /// Tells all attempts of the job to stop.
+  /// Stops all attempts of the job.
   void stop_all(job_store::job& job, duration grace) { stopper_.stop_all(job, grace); }
-  /// The machine is gone for sure, and everything on it.
+  /// Removes a machine that is proven gone and marks all attempts on it as lost.
   void machine_lost(const machine_name& machine, loss_evidence evidence);
-  /// Looks for workers whose leases are surely over: when the store confirmed, with a reading sent
-  /// at `confirmed_at`, that no lease delegate has acted since `delegates_inactive_since`.
+  /// Marks the attempts of workers as lost whose leases have certainly expired. A read of the store
+  /// sent at `confirmed_at` has to have shown that no lease delegate has been active since
+  /// `delegates_inactive_since`.
   void expire_leases(time_point delegates_inactive_since, time_point confirmed_at) {
     lease_expiry_.check(delegates_inactive_since, confirmed_at);
   }
 
-  /// Machines on which a job failed are tried again after a while: they may be all that fits it.
+  /// Lets jobs retry machines on which they failed some time ago, because these may be the
+  /// only machines that fit them.
   void forget_old_failures() { failures_.forget_old_failures(); }
-  /// Probes machines that may be unreachable; one that answers is used again.
+  /// Probes machines that may be unreachable. A machine that answers may be used again.
   void probe() { reachability_.probe(); }
 
-  /// Null where the machine is unknown.
+  /// Returns the worker of a machine, or null if the machine is unknown.
   worker* find(const machine_name& machine) { return workers_.find(machine); }
-  /// Every machine that a heartbeat or a stored attempt names.
+  /// Returns the workers of all machines that a heartbeat or a stored attempt named.
   std::map<machine_name, worker>& all() { return workers_.all(); }
   const std::map<machine_name, worker>& all() const { return workers_.all(); }
-  /// Its heartbeats come, it takes tasks and is well.
+  /// Reports whether tasks may be placed on the worker's machine.
   bool accepts_tasks(const worker& candidate) const { return workers_.accepts_tasks(candidate); }
-  /// Its heartbeats are overdue.
+  /// Reports whether the worker has missed several heartbeats, or has sent none in this term.
   bool heartbeat_overdue(const worker& candidate) const {
     return workers_.heartbeat_overdue(candidate);
   }
--- a/src/workers/reconciler_options.hpp
+++ b/src/workers/reconciler_options.hpp
@@ -13,22 +13,22 @@
 /// Settings of the reconciler.
 struct reconciler_options {
   duration heartbeat_interval = seconds(3);
-  duration worker_lease = seconds(24);             // renewed by each answer to a heartbeat
-  duration renewal_grace = seconds(10);            // how long a deposed leader may keep workers
-  std::uint32_t quarantine_after_failed_jobs = 2;  // that failed on one machine
-  duration failing_job_backoff = seconds(10);  // the first back-off of a job that fails everywhere
-  std::size_t probes_per_second = 20;          // of machines that may be unreachable, at most
+  duration worker_lease = seconds(24);   // renewed by each answer to a heartbeat
+  duration renewal_grace = seconds(10);  // how long a deposed leader may still renew worker leases
+  std::uint32_t quarantine_after_failed_jobs = 2;  // number of jobs that failed on a machine
+  duration failing_job_backoff = seconds(10);      // first back-off of a job that fails everywhere
+  std::size_t probes_per_second = 20;  // limit for probes of machines that may be unreachable
 };
 
-/// What the reconciler asks of the leader and tells it.
+/// Queries and notifications from the reconciler to the leader.
 struct reconciler_hooks {
-  /// Whether the leader's lease is surely held.
+  /// Reports whether the leader certainly still holds its lease.
   std::function<bool()> lease_valid;
-  /// Something changed that a scheduling cycle should see.
+  /// Is called when something changed that a scheduling cycle should take into account.
   std::function<void()> changed;
-  /// The size of the image cache of machines of that type, in GB.
+  /// Returns the size of the image cache of machines of that type, in GB.
   std::function<double(const std::string& type)> cache_gb;
-  /// Whether the machine was rented in this term.
+  /// Reports whether the machine was rented in this term.
   std::function<bool(const machine_name& machine)> rented_in_term;
 };
 
--- a/src/workers/task_stopper.cpp
+++ b/src/workers/task_stopper.cpp
@@ -3,10 +3,10 @@
 namespace gingerdrift::workers {
 
 namespace {
-/// Where a worker takes commands beside the answers to its heartbeats.
+/// Path under which a worker accepts commands in addition to those in answers to its heartbeats.
 constexpr const char* commands_path = "/orders";
 constexpr auto direct_call_deadline = seconds(2);
-/// Beyond the time that a job takes to save.
+/// Added to the time that a job takes to save its state.
 constexpr auto save_margin = seconds(2);
 }  // namespace
 
@@ -17,7 +17,8 @@
     const auto entry = job.attempts().find(task);
     if (entry == job.attempts().end()) continue;
     auto& attempt = entry->second;
-    // A second stop without grace ends a task that is saving; a later one with more does nothing.
+    // A further stop only takes effect if it has a shorter grace period: a stop without grace ends
+    // a task that is still saving, and a stop with a longer one does nothing.
     if (attempt.stopping && grace >= attempt.grace) continue;
     job.mark_stopping(task, grace);
     stops_by_machine[attempt.machine].push_back(
@@ -41,7 +42,8 @@
   }
 }
 
-/// Direct calls carry stops only: a late one does no harm, a late start would still run.
+/// Direct calls carry only stop commands. A stop that arrives late does no harm, whereas a late
+/// start command would still be executed.
 void task_stopper::send(const std::map<machine_name, std::vector<command>>& stops_by_machine) {
   if (!events_.lease_valid()) return;
   for (const auto& [machine, stops] : stops_by_machine) {
@@ -50,7 +52,8 @@
     const std::string body = encode_commands(token_, stops, receiver->latest_position.incarnation);
     runtime_.call(receiver->address, {"POST", commands_path, body}, direct_call_deadline,
                   [](const net::response&) {
-                    // The reply may overtake a heartbeat: only heartbeats are proof.
+                    // The response proves nothing, because it may overtake a heartbeat. Only
+                    // heartbeats count as proof.
                   });
   }
 }
--- a/src/workers/task_stopper.hpp
+++ b/src/workers/task_stopper.hpp
@@ -10,19 +10,22 @@
 
 namespace gingerdrift::workers {
 
-/// Stops attempts: at once over a direct call to the worker, and again in the answer to every
-/// heartbeat that still lists them.
+/// Stops attempts by an immediate direct call to the worker. In addition, the stop command is
+/// repeated in the answer to each heartbeat that still lists the attempt (see
+/// heartbeat_reconciliation).
 class task_stopper {
  public:
   task_stopper(net::runtime& runtime, worker_table& workers, fencing_token token,
                const reconciler_hooks& events)
       : runtime_(runtime), workers_(workers), token_(token), events_(events) {}
 
-  /// `grace`: how long a task may save its state. Tasks without an attempt are passed over.
+  /// Stops tasks of a job. `grace` is the time that each task has to save its state. Tasks without
+  /// an attempt are skipped.
   void stop(job_store::job& job, const std::vector<std::uint32_t>& tasks, duration grace);
-  /// All attempts of the job.
+  /// Stops all attempts of the job.
   void stop_all(job_store::job& job, duration grace);
-  /// Stops with the time to save that the job asks for: a gang as a whole, of an array those tasks.
+  /// Stops tasks with the time to save their state that the job asks for. A gang is stopped as a
+  /// whole, whichever of its tasks are given.
   void stop_gracefully(job_store::job& job, const std::vector<std::uint32_t>& tasks);
 
  private:
--- a/src/workers/worker_table.cpp
+++ b/src/workers/worker_table.cpp
@@ -3,7 +3,7 @@
 namespace gingerdrift::workers {
 
 namespace {
-/// A worker is overdue once so many intervals have passed without a heartbeat.
+/// Number of heartbeat intervals without a heartbeat after which a worker is overdue.
 constexpr int overdue_intervals = 3;
 }  // namespace
 
@@ -14,7 +14,7 @@
   double used_gb = 0;
   for (std::size_t i = 0; i < images.size(); ++i) {
     used_gb += images[i].size_gb;
-    // The newest is in use, whatever its size.
+    // The most recently used image is in use and stays, whatever its size.
     if (i > 0 && used_gb > cache_gb) {
       images.resize(i);
       break;
@@ -49,9 +49,10 @@
          runtime_.now() - candidate.last_heartbeat > heartbeat_interval_ * overdue_intervals;
 }
 
-/// A worker that has not shown our token has not received a word of ours: its heartbeat may be a
-/// late copy from an earlier term, or its machine may hear nothing. One that was rented in this
-/// term has no earlier heartbeats, and is not kept waiting for a second one.
+/// A worker whose heartbeats do not carry this term's token has not received an answer of this
+/// leader: the heartbeat may be a delayed one from an earlier term, or answers may not reach the
+/// machine. A machine rented in this term has sent no heartbeats in earlier terms, so it is
+/// accepted from its first heartbeat on.
 bool worker_table::accepts_tasks(const worker& candidate) const {
   if (heartbeat_overdue(candidate) || candidate.is_unschedulable()) return false;
   if (candidate.runs_unknown_tasks) return false;
