--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -1,4 +1,5 @@
-// What comes in from outside: submissions, heartbeats, peers' messages, cloud answers, records.
+// Tests the decoding of external input (submissions, heartbeats, peer messages, cloud responses and
+// stored records), and the encoding of commands and records.
 #include <gtest/gtest.h>
 
 #include <nlohmann/json.hpp>
@@ -12,7 +13,7 @@
 namespace gingerdrift::testing {
 
 namespace {
-/// A submission that is accepted.
+/// Returns a submission that is accepted.
 json valid_submission() {
   sim_job job;
   job.id = "run-7";
@@ -39,7 +40,7 @@
       R"({"host":"n-1","addr":"1.2.3.4:9","flavor":"g8","yard":"a","loaners":true,"shift":1,"tick":8,
           "baton":4,"warningS":12.5,"pieces":[{"piece":"run-1/3","try":2,"status":"ended","cause":"error"}]})");
 }
-/// An array of which most tasks are done and a hundred are placed.
+/// Returns an array job with most of its tasks done and a hundred attempts.
 job_store::job large_array() {
   json body = valid_submission();
   body["pieces"] = 100000;
@@ -56,7 +57,7 @@
 }
 }  // namespace
 
-TEST(wire, submissions_that_are_malformed) {
+TEST(wire, malformed_submissions_are_detected) {
   EXPECT_TRUE(well_formed(valid_submission().dump()));
   for (const char* text : {"", "{", "[]", "3", "\"x\"", "null"})
     EXPECT_FALSE(well_formed(text)) << text;
@@ -80,7 +81,7 @@
   EXPECT_FALSE(well_formed_with("bundle", std::string(300, 'x')));
 }
 
-TEST(wire, submissions_that_can_never_run) {
+TEST(wire, submissions_that_can_never_run_are_rejected) {
   const auto rejection_of = [](const std::string& field, const json& value, bool gang = false) {
     json body = valid_submission();
     body["shape"] = gang ? "ensemble" : "sweep";
@@ -91,14 +92,17 @@
   EXPECT_EQ(rejection_of("crew", "red"), std::nullopt);
   EXPECT_EQ(rejection_of("crew", "green"), rejection::unknown_team);
   EXPECT_EQ(rejection_of("accelerators", 9), rejection::no_fitting_machine_type);
-  EXPECT_EQ(rejection_of("pieces", 17), std::nullopt) << "an array runs in pieces";
-  EXPECT_EQ(rejection_of("pieces", 17, true), rejection::over_team_limit) << "a gang runs at once";
+  EXPECT_EQ(rejection_of("pieces", 17), std::nullopt)
+      << "the tasks of an array may run one after another";
+  EXPECT_EQ(rejection_of("pieces", 17, true), rejection::over_team_limit)
+      << "all tasks of a gang run at the same time";
   EXPECT_EQ(rejection_of("flavors", json::array({"other"})), rejection::no_fitting_machine_type);
   EXPECT_EQ(rejection_of("yard", "z"), rejection::no_fitting_machine_type);
 }
 
-// A scattered gang needs two zones; an array's tasks take turns in one.
-TEST(wire, scattered_gangs_that_can_never_run_need_two_zones) {
+// A scattered gang needs two zones. The tasks of a scattered array may run one after another in a
+// single zone.
+TEST(wire, scattered_gang_is_rejected_unless_it_may_use_two_zones) {
   json body = valid_submission();
   body["pieces"] = 2;
   body["scatter"] = true;
@@ -118,7 +122,7 @@
   }
 }
 
-TEST(wire, heartbeats_that_are_malformed_are_dropped) {
+TEST(wire, malformed_heartbeats_are_not_decoded) {
   const auto heartbeat = workers::decode_heartbeat(valid_heartbeat().dump());
   ASSERT_TRUE(heartbeat.has_value());
   EXPECT_EQ(heartbeat->tasks.at(0).cause, workers::exit_cause::error);
@@ -132,7 +136,7 @@
   EXPECT_FALSE(workers::decode_heartbeat("{}").has_value());
 }
 
-TEST(wire, heartbeats_need_every_field_but_the_notice_and_the_cause) {
+TEST(wire, heartbeats_require_every_field_except_notice_and_cause) {
   for (const char* text : {"", "{", "[]", "3", "null"})
     EXPECT_FALSE(workers::decode_heartbeat(text).has_value()) << text;
   const json whole = valid_heartbeat();
@@ -159,7 +163,7 @@
             workers::exit_cause::unknown);
 }
 
-TEST(wire, commands_go_out_under_their_wire_names) {
+TEST(wire, commands_are_encoded_with_their_wire_names) {
   using workers::command_type;
   const std::vector<workers::command> commands = {
       {command_type::start, "run-1", 3, attempt_number(2), {}},
@@ -176,7 +180,7 @@
   EXPECT_EQ(workers::encode_redirect(""), "{}");
 }
 
-TEST(wire, peers_messages_survive_the_trip_and_garbage_does_not) {
+TEST(wire, peer_messages_round_trip_and_truncated_ones_are_not_decoded) {
   peers::message sent;
   sent.kind = peers::kind::user;
   sent.node = "node-1";
@@ -189,7 +193,7 @@
     EXPECT_FALSE(peers::decode_message(bytes.substr(0, cut)).has_value()) << cut;
 }
 
-TEST(wire, cloud_answers_that_are_malformed_are_dropped) {
+TEST(wire, malformed_cloud_responses_are_not_decoded) {
   EXPECT_FALSE(cloud::read_types(R"({"flavors":[{"label":"g8"}]})").has_value());
   EXPECT_FALSE(cloud::read_machines(R"({"hosts":[]})").has_value());
   EXPECT_FALSE(cloud::read_rented(R"({"hosts":3})").has_value());
@@ -199,7 +203,7 @@
   EXPECT_FALSE(cloud::says_no_capacity("no JSON"));
 }
 
-TEST(wire, final_records_that_are_malformed_are_no_state) {
+TEST(wire, malformed_final_records_are_not_decoded) {
   for (const char* text : {"null", "3", "{}", R"({"status":4})", R"({"status":"lost"})"})
     EXPECT_FALSE(job_store::read_final(json::parse(text)).has_value()) << text;
   const auto terminal = job_store::read_final(json::parse(R"({"status":"done","done":7})"));
@@ -207,7 +211,7 @@
   EXPECT_EQ(terminal->tasks_done(), 7U);
 }
 
-TEST(wire, large_jobs_spill_and_are_read_back_whole) {
+TEST(wire, large_job_is_split_into_parts_and_restored_completely) {
   const job_store::job written = large_array();
   const json head = job_store::write_head(written);
   std::size_t biggest = head.dump().size();
--- a/tests/lease_delegate_test.cpp
+++ b/tests/lease_delegate_test.cpp
@@ -8,7 +8,8 @@
 
 namespace {
 
-/// A controller in zone b, cut off from the leader in zone a, and a worker with a task of run-1.
+/// Fixture with a controller in zone b that is cut off from the leader in zone a, and a worker that
+/// runs a task of job run-1.
 class lease_delegate : public ::testing::Test {
  protected:
   lease_delegate()
@@ -33,7 +34,7 @@
                 },
             .zone_of = [](const node_name&) { return zone_name("a"); }};
   }
-  /// The answer to a heartbeat that lists the task as running.
+  /// Sends a heartbeat that lists the task as running, and returns the answer.
   net::response answer_of(workers::lease_delegate& delegate) {
     workers::worker_heartbeat heartbeat;
     heartbeat.machine = "m";
@@ -54,9 +55,10 @@
 
 }  // namespace
 
-// An answer renews the lease of all that a worker has, so a delegate's reading of a job may be no
-// older than what a cancellation has beyond that lease.
-TEST_F(lease_delegate, readings_are_no_older_than_a_cancellation_allows) {
+// An answer renews a worker's lease and thereby lets all of its tasks run on. So the job status
+// that a delegate relies on may be no older than the time allowed for a cancellation less that
+// lease.
+TEST_F(lease_delegate, job_status_is_no_older_than_a_cancellation_allows) {
   for (const bool little_time : {false, true}) {
     const duration max_age = little_time ? duration(milliseconds(300)) : duration(seconds(5));
     workers::lease_delegate delegate(runtime, store, {"node-2", "b", max_age}, cut_off());
@@ -69,7 +71,8 @@
   }
   workers::lease_delegate without_time(runtime, store, {"node-2", "b", duration::zero()},
                                        cut_off());
-  EXPECT_EQ(answer_of(without_time).status, 503) << "with nothing beyond the lease it renews none";
+  EXPECT_EQ(answer_of(without_time).status, 503)
+      << "without time beyond the lease the delegate renews no leases";
 }
 
 }  // namespace gingerdrift::testing
--- a/tests/reconciler_test.cpp
+++ b/tests/reconciler_test.cpp
@@ -1,4 +1,4 @@
-// What counts as evidence that a task is gone, and what does not; which machines take tasks.
+// Tests which observations prove that a task is gone, and which machines accept tasks.
 #include "workers/reconciler.hpp"
 
 #include <gtest/gtest.h>
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr fencing_token our_token(7);
+constexpr fencing_token current_token(7);
 constexpr fencing_token previous_token(6);
 const job_id first_job("run-1");
 const machine_name machine("m");
@@ -26,7 +26,7 @@
 bool has_start(const std::string& answer) { return contains(answer, "\"run\""); }
 bool acknowledges_exit(const std::string& answer) { return contains(answer, "reap"); }
 
-/// Task 0 of the first job, as its worker lists it.
+/// Status of task 0 of the first job in a heartbeat.
 workers::task_status task_status(attempt_phase phase, exit_cause cause = exit_cause::none) {
   return {first_job, 0, attempt_number(1), phase, cause};
 }
@@ -43,14 +43,14 @@
   return heartbeat;
 }
 
-/// A heartbeat under our token that lists task 0 as running.
+/// A heartbeat with the current token that lists task 0 as running.
 workers::worker_heartbeat running_heartbeat(std::uint64_t sequence) {
-  auto listing = heartbeat(incarnation, sequence, our_token);
+  auto listing = heartbeat(incarnation, sequence, current_token);
   listing.tasks = {task_status(attempt_phase::running)};
   return listing;
 }
 
-/// A leader's reconciler with one stored attempt of task 0 of the first job.
+/// Fixture with a leader's reconciler and one stored attempt of task 0 of the first job.
 class reconciler : public ::testing::Test {
  protected:
   reconciler()
@@ -63,7 +63,7 @@
               .committed = [] {},
               .deposed = [] {},
               .may_write = [this] { return lease_valid; }}),
-        under_test(runtime, jobs, settings(), our_token, hooks()) {
+        under_test(runtime, jobs, settings(), current_token, hooks()) {
     job_store::job_spec spec;
     spec.id = first_job;
     spec.team = "red";
@@ -95,16 +95,16 @@
   job_store::job& job() { return *jobs.find(first_job); }
   bool holds_first_attempt() { return job().attempts().count(0) != 0; }
   bool accepts_tasks() { return under_test.accepts_tasks(*under_test.find(machine)); }
-  /// Places task 1 on the machine, where task 0 runs.
+  /// Places task 1 on the machine on which task 0 runs.
   void place_second_task() { under_test.place(job(), 1, machine, attempt_number(2)); }
   void answer_probes_at(const std::string& host, const std::string& address) {
     net.serve(host, address, [](const net::request&, const net::reply_fn& reply) {
       reply({200, "{}", std::nullopt, false});
     });
   }
-  /// Task 1 is placed on that machine and fails there.
+  /// Places task 1 on a machine and reports that it failed there.
   void fail_on(const machine_name& name, attempt_number number) {
-    auto listing = heartbeat(incarnation, ++failure_sequence, our_token);
+    auto listing = heartbeat(incarnation, ++failure_sequence, current_token);
     listing.machine = name;
     under_test.handle(listing);
     under_test.place(job(), 1, name, number);
@@ -128,32 +128,33 @@
 
 }  // namespace
 
-TEST_F(reconciler, heartbeat_with_an_older_token_proves_nothing_of_a_task_never_listed) {
+TEST_F(reconciler, unlisted_task_is_kept_if_the_heartbeat_carries_an_older_token) {
   const auto answer = under_test.handle(heartbeat(incarnation, 5, previous_token));
   EXPECT_TRUE(holds_first_attempt());
   EXPECT_FALSE(has_start(answer));
 }
 
-// Guards against: an earlier leader had proven a start gone, and given its room away, before that
-// was stored; its successor sent the start again, and the team was over its limit.
+// Guards against a team exceeding its limit: an earlier leader found a start to be lost and
+// reassigned its resources before that was stored, and its successor sent the start again.
 TEST_F(reconciler, start_of_an_earlier_leader_is_never_sent_again) {
   EXPECT_FALSE(has_start(under_test.handle(heartbeat(incarnation, 5, previous_token))));
-  EXPECT_TRUE(holds_first_attempt()) << "it may have been taken after that heartbeat";
-  EXPECT_FALSE(has_start(under_test.handle(heartbeat(incarnation, 6, our_token))));
-  EXPECT_FALSE(holds_first_attempt()) << "under our token it can't be taken any more";
+  EXPECT_TRUE(holds_first_attempt())
+      << "the worker may have received the start after that heartbeat";
+  EXPECT_FALSE(has_start(under_test.handle(heartbeat(incarnation, 6, current_token))));
+  EXPECT_FALSE(holds_first_attempt()) << "the worker no longer accepts a start of an earlier term";
 }
 
-TEST_F(reconciler, task_that_left_the_heartbeats_is_lost_only_under_our_token) {
+TEST_F(reconciler, task_no_longer_listed_is_lost_only_under_the_current_token) {
   under_test.handle(running_heartbeat(5));
   under_test.handle(heartbeat(incarnation, 6, previous_token));
   EXPECT_TRUE(holds_first_attempt());
-  under_test.handle(heartbeat(incarnation, 7, our_token));
+  under_test.handle(heartbeat(incarnation, 7, current_token));
   EXPECT_FALSE(holds_first_attempt());
 }
 
-TEST_F(reconciler, old_heartbeat_proves_nothing_and_gets_no_commands) {
+TEST_F(reconciler, outdated_heartbeat_is_no_loss_evidence_and_gets_no_commands) {
   under_test.handle(running_heartbeat(9));
-  const auto answer = under_test.handle(heartbeat(incarnation, 8, our_token));
+  const auto answer = under_test.handle(heartbeat(incarnation, 8, current_token));
   EXPECT_TRUE(holds_first_attempt());
   EXPECT_FALSE(has_command(answer));
 }
@@ -163,15 +164,15 @@
   EXPECT_FALSE(holds_first_attempt());
 }
 
-TEST_F(reconciler, lease_expires_only_after_the_grace_of_a_deposed_leader) {
+TEST_F(reconciler, lease_expires_only_after_the_grace_period_of_a_deposed_leader) {
   const time_point start = net.now();
   under_test.handle(heartbeat(incarnation, 5, previous_token));
   net.run_for(seconds(8));
   under_test.expire_leases(start, net.now());
-  EXPECT_TRUE(holds_first_attempt()) << "a deposed leader may have kept it alive";
+  EXPECT_TRUE(holds_first_attempt()) << "a deposed leader may have renewed the lease";
   net.run_for(seconds(5));
   under_test.expire_leases(net.now() - seconds(5), net.now());
-  EXPECT_TRUE(holds_first_attempt()) << "a lease delegate may have kept it alive";
+  EXPECT_TRUE(holds_first_attempt()) << "a lease delegate may have renewed the lease";
   under_test.expire_leases(start, net.now() - seconds(5));
   EXPECT_TRUE(holds_first_attempt()) << "the confirmation is too old";
   under_test.expire_leases(start, net.now());
@@ -184,7 +185,7 @@
 }
 
 TEST_F(reconciler, exit_is_acknowledged_only_once_the_completion_is_stored) {
-  auto listing = heartbeat(incarnation, 5, our_token);
+  auto listing = heartbeat(incarnation, 5, current_token);
   listing.tasks = {task_status(attempt_phase::exited, exit_cause::done)};
   EXPECT_FALSE(acknowledges_exit(under_test.handle(listing)));
   EXPECT_TRUE(job().done().contains(0));
@@ -193,7 +194,7 @@
   EXPECT_TRUE(acknowledges_exit(under_test.handle(listing)));
 }
 
-TEST_F(reconciler, nothing_is_started_without_a_valid_leader_lease) {
+TEST_F(reconciler, no_task_is_started_without_a_valid_leader_lease) {
   under_test.handle(running_heartbeat(5));
   place_second_task();
   net.run_for(seconds(1));
@@ -204,7 +205,7 @@
   EXPECT_TRUE(has_start(under_test.handle(running_heartbeat(7))));
 }
 
-TEST_F(reconciler, nothing_is_started_before_it_is_stored) {
+TEST_F(reconciler, no_task_is_started_before_its_attempt_is_stored) {
   under_test.handle(running_heartbeat(5));
   place_second_task();
   EXPECT_FALSE(contains(under_test.handle(running_heartbeat(6)), "run-1/1"));
@@ -212,47 +213,49 @@
   EXPECT_TRUE(contains(under_test.handle(running_heartbeat(7)), "run-1/1"));
 }
 
-TEST_F(reconciler, machine_that_misses_a_start_takes_no_tasks_until_it_answers_a_probe) {
+TEST_F(reconciler, machine_that_misses_a_start_accepts_no_tasks_until_it_answers_a_probe) {
   under_test.handle(running_heartbeat(5));
   EXPECT_TRUE(accepts_tasks());
   place_second_task();
   net.run_for(seconds(1));
   ASSERT_TRUE(has_start(under_test.handle(running_heartbeat(6))));
-  // Heartbeats arrive, and do not list it: the answer got lost.
+  // The next heartbeat arrives and does not list the task, so the answer with the start was lost.
   EXPECT_FALSE(has_start(under_test.handle(running_heartbeat(7))));
-  EXPECT_EQ(job().attempts().count(1), 0U) << "proven not started, it may move";
+  EXPECT_EQ(job().attempts().count(1), 0U)
+      << "the task is proven not started and may be placed elsewhere";
   EXPECT_FALSE(accepts_tasks());
   under_test.probe();
   net.run_for(seconds(3));
-  EXPECT_FALSE(accepts_tasks()) << "nobody answers there";
+  EXPECT_FALSE(accepts_tasks()) << "the probe was not answered";
   answer_probes_at("m", "m:9");
   under_test.probe();
   net.run_for(seconds(1));
   under_test.handle(running_heartbeat(8));
-  EXPECT_TRUE(accepts_tasks()) << "used again once it hears us";
+  EXPECT_TRUE(accepts_tasks()) << "the machine is used again once it has answered a probe";
 }
 
-TEST_F(reconciler, lease_that_expired_under_our_answers_makes_the_machine_suspect) {
+TEST_F(reconciler, machine_whose_lease_expires_despite_answers_accepts_no_tasks) {
   under_test.handle(running_heartbeat(5));
-  under_test.handle(heartbeat(next_incarnation, 1, our_token));
+  under_test.handle(heartbeat(next_incarnation, 1, current_token));
   EXPECT_FALSE(holds_first_attempt())
       << "answered heartbeats are no proof that the lease was renewed";
   EXPECT_FALSE(accepts_tasks());
 }
 
-// A zone of a thousand machines is back after a cut. With twenty probes a second, the first ones
-// probed again and again, the last would have been returned before their turn came.
-TEST_F(reconciler, suspect_machines_are_probed_in_turn) {
+// A zone of a thousand machines is reachable again after a partition. With twenty probes
+// per second that always went to the first machines, the last ones would have been returned to the
+// cloud before they were probed.
+TEST_F(reconciler, unreachable_machines_are_probed_in_turn) {
   constexpr int machines = 1300;
   auto many_probes = settings();
   many_probes.probes_per_second = 90;
-  workers::reconciler zone(runtime, jobs, many_probes, our_token, hooks());
+  workers::reconciler zone(runtime, jobs, many_probes, current_token, hooks());
   zone.start_reconciling();
   for (int i = 0; i < machines; ++i) {
     const std::string host = "n-" + std::to_string(100000 + i);
     for (const auto& [number, sequence] :
          std::map<std::uint64_t, std::uint64_t>{{incarnation, 5}, {next_incarnation, 1}}) {
-      auto listing = heartbeat(number, sequence, our_token);
+      auto listing = heartbeat(number, sequence, current_token);
       listing.machine = machine_name(host);
       listing.address = host + ":9";
       zone.handle(listing);
@@ -271,21 +274,21 @@
   }
 }
 
-TEST_F(reconciler, gang_member_that_waited_in_vain_counts_only_under_our_token) {
-  // The member may have been started again under its number since.
+TEST_F(reconciler, exit_for_an_incomplete_gang_counts_only_under_the_current_token) {
+  // The gang member may have been started again with the same attempt number in the meantime.
   auto listing = heartbeat(incarnation, 5, previous_token);
   listing.tasks = {task_status(attempt_phase::exited, exit_cause::gang_incomplete)};
   EXPECT_FALSE(acknowledges_exit(under_test.handle(listing)));
   EXPECT_TRUE(holds_first_attempt());
-  listing = heartbeat(incarnation, 6, our_token);
+  listing = heartbeat(incarnation, 6, current_token);
   listing.tasks = {task_status(attempt_phase::exited, exit_cause::gang_incomplete)};
   under_test.handle(listing);
   EXPECT_FALSE(holds_first_attempt());
 }
 
-// A job that fails everywhere waits longer each time, but never for long, and the machines it
-// failed on are not passed by for ever: they may be all that fits it.
-TEST_F(reconciler, failing_job_is_held_back_for_a_minute_at_most) {
+// The back-off of a job that fails everywhere grows each time, but is limited. The job avoids the
+// machines on which it failed only for a while, because these may be the only ones that fit it.
+TEST_F(reconciler, failing_job_backs_off_for_a_minute_at_most) {
   for (std::uint64_t round = 0; round < 9; ++round) {
     for (const machine_name& name : std::vector<machine_name>{"m", "n", "o"})
       fail_on(name, attempt_number(100 + round));
@@ -303,13 +306,13 @@
   EXPECT_TRUE(job().errors().empty());
 }
 
-TEST_F(reconciler, machine_rented_in_this_term_is_used_from_its_first_heartbeat_on) {
+TEST_F(reconciler, machine_rented_in_this_term_accepts_tasks_from_its_first_heartbeat_on) {
   rented_in_term = true;
   under_test.handle(heartbeat(incarnation, 1, {}));
   EXPECT_TRUE(accepts_tasks());
 }
 
-TEST_F(reconciler, late_copy_from_an_earlier_term_makes_no_machine_usable) {
+TEST_F(reconciler, delayed_heartbeat_from_an_earlier_term_does_not_make_a_machine_usable) {
   under_test.handle(heartbeat(incarnation, 5, previous_token));
   EXPECT_FALSE(accepts_tasks());
   EXPECT_TRUE(holds_first_attempt());
