--- a/src/leader/delegate_monitor.cpp
+++ b/src/leader/delegate_monitor.cpp
@@ -19,7 +19,7 @@
 void delegate_monitor::poll() {
   if (list_in_flight_) return;
   list_in_flight_ = true;
-  store_.list(workers::delegate_prefix, "",
+  store_.list(workers::delegate_key_prefix, "",
               guard_.wrap([this](const kvstore::result& records) { handle_records(records); }));
 }
 
--- a/src/leader/heartbeat_intake.cpp
+++ b/src/leader/heartbeat_intake.cpp
@@ -116,7 +116,7 @@
   std::vector<held_heartbeat> ready(std::make_move_iterator(first_ready),
                                     std::make_move_iterator(held_heartbeats_.end()));
   held_heartbeats_.erase(first_ready, held_heartbeats_.end());
-  for (auto& held : ready) held.answer(workers_.answer(held.heartbeat));
+  for (auto& held : ready) held.answer(workers_.answer_deferred(held.heartbeat));
 }
 
 /// Reports whether all attempts on the machine are stored. An answer contains the start of an
--- a/src/leader/leader_term.cpp
+++ b/src/leader/leader_term.cpp
@@ -170,7 +170,7 @@
 void leader_term::finish_recovery() {
   for (auto& [id, job] : jobs_.all()) resume_job(job);
   dependencies_.start();
-  workers_.ready();
+  workers_.start_reconciling();
   machines_.start();
   spdlog::info("term_ready term={} jobs={} waiting_for_dependencies={} after_ms={}", token_,
                jobs_.all().size(), dependencies_.waiting_jobs(),
--- a/src/workers/codec.cpp
+++ b/src/workers/codec.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// The fields of a heartbeat on the wire.
+/// Field names of a heartbeat on the wire.
 namespace heartbeat_field {
 constexpr const char* machine = "host";
 constexpr const char* address = "addr";
@@ -27,15 +27,15 @@
 constexpr const char* tasks = "pieces";
 }  // namespace heartbeat_field
 
-/// The fields of a task in a heartbeat.
+/// Field names of a task in a heartbeat.
 namespace task_field {
 constexpr const char* id = "piece";  // JOB/INDEX
 constexpr const char* attempt = "try";
 constexpr const char* state = "status";
-constexpr const char* cause = "cause";  // optional, of a task that has exited
+constexpr const char* cause = "cause";  // optional; read only if the task has exited
 }  // namespace task_field
 
-/// The fields of an answer or a direct call, and of each command there.
+/// Field names of an answer or a direct call, and of the commands in it.
 namespace command_field {
 constexpr const char* token = "baton";
 constexpr const char* incarnation = "shift";  // optional
@@ -43,11 +43,11 @@
 constexpr const char* type = "verb";
 constexpr const char* task = "piece";
 constexpr const char* attempt = "try";
-constexpr const char* grace_s = "mercyS";  // of a stop
+constexpr const char* grace_s = "mercyS";  // of a stop command
 constexpr const char* leader = "boss";     // of a redirect
 }  // namespace command_field
 
-/// A value of an enumeration and its name on the wire.
+/// An enumerator and its name on the wire.
 template <typename enumeration>
 struct wire_name {
   const char* name;
@@ -66,7 +66,7 @@
     wire_name<exit_cause>{"done", exit_cause::done},
     wire_name<exit_cause>{"halted", exit_cause::stopped},
     wire_name<exit_cause>{"mates_gone", exit_cause::peers_gone},
-    wire_name<exit_cause>{"alone", exit_cause::alone},
+    wire_name<exit_cause>{"alone", exit_cause::gang_incomplete},
     wire_name<exit_cause>{"error", exit_cause::error},
     wire_name<exit_cause>{"no_room", exit_cause::no_room},
     wire_name<exit_cause>{"in_use", exit_cause::busy},
@@ -93,7 +93,7 @@
       ->name;
 }
 
-/// Ends the decoding of a heartbeat. It does not leave this file.
+/// Thrown to abort the decoding of a malformed heartbeat, and caught within this file.
 class malformed_heartbeat : public std::exception {};
 
 json parse_json(const std::string& text) {
@@ -142,12 +142,12 @@
 }
 
 std::optional<duration> read_notice(const json& heartbeat) {
-  constexpr double longest_s = 86400;
+  constexpr double max_notice_s = 86400;
   if (!heartbeat.contains(heartbeat_field::notice_s) ||
       heartbeat[heartbeat_field::notice_s].is_null())
     return std::nullopt;
   return from_seconds(
-      std::clamp(value<double>(heartbeat, heartbeat_field::notice_s), 0.0, longest_s));
+      std::clamp(value<double>(heartbeat, heartbeat_field::notice_s), 0.0, max_notice_s));
 }
 
 task_status decode_task(const json& item) {
@@ -179,11 +179,11 @@
 }
 
 json encode_command(const command& sent) {
-  json order = {{command_field::task, sent.job.str() + "/" + std::to_string(sent.task)},
-                {command_field::attempt, sent.number.value()},
-                {command_field::type, name_of(sent.type)}};
-  if (sent.type == command_type::stop) order[command_field::grace_s] = to_seconds(sent.grace);
-  return order;
+  json encoded = {{command_field::task, sent.job.str() + "/" + std::to_string(sent.task)},
+                  {command_field::attempt, sent.number.value()},
+                  {command_field::type, name_of(sent.type)}};
+  if (sent.type == command_type::stop) encoded[command_field::grace_s] = to_seconds(sent.grace);
+  return encoded;
 }
 
 }  // namespace
@@ -218,7 +218,7 @@
       return "stopped";
     case exit_cause::peers_gone:
       return "peers_gone";
-    case exit_cause::alone:
+    case exit_cause::gang_incomplete:
       return "alone";
     case exit_cause::error:
       return "error";
