--- a/src/api/job_state_reader.cpp
+++ b/src/api/job_state_reader.cpp
@@ -65,7 +65,7 @@
   if (outdated(reading)) return retry_later(reply, retry_reason::record_outdated);
   const kvstore::entry& head = reading.entries.front();
   try {
-    const auto record = job_store::read_head(head.value, head.version);
+    const auto record = job_store::decode_head(head.value, head.version);
     if (record.spec().id != id) throw std::invalid_argument("it names another job");
     reply_state(id, job_store::state_in_record(record, cancellation_), reply);
   } catch (const std::exception& error) {
@@ -76,7 +76,7 @@
 
 void job_state_reader::reply_from_final(const job_id& id, const kvstore::entry& record,
                                         const net::reply_fn& reply) {
-  const auto state = job_store::read_final(record.value);
+  const auto state = job_store::try_decode_final(record.value);
   if (!state) {
     spdlog::error("record_malformed kind=final key={}", record.key);
     return retry_later(reply, retry_reason::record_unreadable);
--- a/src/api/submission_writer.cpp
+++ b/src/api/submission_writer.cpp
@@ -36,8 +36,8 @@
   const std::size_t value_bytes = kvstore::planned_value_bytes(sizes_);
   auto& job = write.job;
   job.wait_for(dependencies);
-  if (job_store::write_head(job).dump().size() <= value_bytes) return;
-  write.dependency_parts = job_store::write_dependency_parts(dependencies, value_bytes);
+  if (job_store::encode_head(job).dump().size() <= value_bytes) return;
+  write.dependency_parts = job_store::encode_dependency_parts(dependencies, value_bytes);
   const std::string prefix = list_prefix + job.spec().id.str() + "/" + node_.str() + "-" +
                              std::to_string(job.created_ms()) + "/";
   job.wait_for({}, {.prefix = prefix, .count = write.dependency_parts.size()});
@@ -77,7 +77,7 @@
                                    std::vector<kvstore::operation> operations) {
   const auto head_key = job_store::head_key(write->job.spec().id);
   const auto final_key = job_store::final_key(write->job.spec().id);
-  operations.push_back({head_key, job_store::write_head(write->job), 0, false});
+  operations.push_back({head_key, job_store::encode_head(write->job), 0, false});
   store_.txn(
       {{head_key, {}}, {final_key, {}}}, operations,
       guard_.wrap([write](const kvstore::result& answer) { write->done(outcome_of(answer)); }));
--- a/src/api/submissions.cpp
+++ b/src/api/submissions.cpp
@@ -24,7 +24,7 @@
 void reply_from_final(const job_id& id, rejection reason, const kvstore::result& final_record,
                       const net::reply_fn& reply) {
   if (final_record.has_entry()) {
-    const auto state = job_store::read_final(final_record.entries.front().value);
+    const auto state = job_store::try_decode_final(final_record.entries.front().value);
     if (!state) return retry_later(reply, retry_reason::record_unreadable);
     return reply_state_name(id, *state, reply);
   }
@@ -71,8 +71,8 @@
 job_store::job submissions::job_announced(job_store::job_spec spec) {
   const auto created =
       std::chrono::duration_cast<milliseconds>(runtime_.wall_now().time_since_epoch());
-  return job_store::job_announced(std::move(spec), created.count(),
-                                  kvstore::planned_value_bytes(options_.sizes));
+  return job_store::create_job(std::move(spec), created.count(),
+                               kvstore::planned_value_bytes(options_.sizes));
 }
 
 /// Every name has to have been accepted. What became of those jobs is the leader's to find out.
--- a/src/dependencies/dependency_lists.cpp
+++ b/src/dependencies/dependency_lists.cpp
@@ -61,7 +61,7 @@
 
 void dependency_lists::release(job& job) {
   if (job.more_dependencies().count == 0) return;
-  const std::uint64_t next_change = job.head().mutation + 1;
+  const std::uint64_t next_change = job.head().latest_change + 1;
   released_[job.spec().id] = {.parts = job.release_dependency_parts(), .head_change = next_change};
 }
 
@@ -69,7 +69,7 @@
   const auto released = released_.find(id);
   if (released == released_.end()) return;
   const job* job = jobs_.find(id);
-  if (job != nullptr && job->head().stored < released->second.head_change) return;
+  if (job != nullptr && job->head().stored_change < released->second.head_change) return;
   job_finalized(id);
 }
 
--- a/src/dependencies/tracker.cpp
+++ b/src/dependencies/tracker.cpp
@@ -62,7 +62,7 @@
 bool tracker::resolve_in_memory(const job_id& id) {
   if (const job* job = jobs_.find(id); job != nullptr) {
     job_progress progress = job_progress::unfinished;
-    if (job->end()) progress = progress_of(*job->end());
+    if (job->stored_terminal_state()) progress = progress_of(*job->stored_terminal_state());
     apply(graph_.set_progress(id, progress));
     return true;
   }
@@ -81,7 +81,7 @@
 void tracker::job_stored(const job_id& id) {
   lists_.job_stored(id);
   const job* job = jobs_.find(id);
-  if (job != nullptr && job->end()) resolve_in_memory(id);
+  if (job != nullptr && job->stored_terminal_state()) resolve_in_memory(id);
 }
 
 void tracker::job_finalized(const job_id& id, const job_store::terminal_state& end) {
@@ -120,7 +120,7 @@
   const auto since_epoch = runtime_.wall_now().time_since_epoch();
   job->become_ready(std::chrono::duration_cast<milliseconds>(since_epoch).count());
   lists_.release(*job);
-  jobs_.mark_head_progress(*job);
+  jobs_.mark_head_deferrable(*job);
   spdlog::info("job_ready job={}", id);
 }
 
--- a/src/job_store/batch_builder.cpp
+++ b/src/job_store/batch_builder.cpp
@@ -61,7 +61,7 @@
   if (!batch.affords(1) || too_soon) return;
   const auto absorbed = [this](const placement& placement) {
     const job* job = find_job(from_.jobs, placement.job);
-    return job == nullptr || job->units()[placement.unit].stored >= placement.change;
+    return job == nullptr || job->units()[placement.unit].stored_change >= placement.change;
   };
   if (auto write = from_.placements.prepare(absorbed)) batch.add_log_write(std::move(*write));
 }
@@ -72,7 +72,7 @@
   while (!batch.full() && batch.affords(1)) {
     const auto unit = from_.changes.next_progress(now_);
     if (!unit) return;
-    const add_result result = add_unit(batch, *unit, write_urgency::progress);
+    const add_result result = add_unit(batch, *unit, write_urgency::deferrable);
     if (result == add_result::deferred) from_.changes.add_urgent(*unit);
     if (result != add_result::no_room) continue;
     from_.changes.put_back_progress(*unit);
@@ -93,7 +93,7 @@
                                                   write_urgency urgency) {
   job* job = find_job(from_.jobs, unit.job);
   if (job == nullptr || !job->units()[unit.index].dirty()) return add_result::unchanged;
-  if (!job->leaving()) return add_update(batch, *job, unit, urgency);
+  if (!job->is_finalizing()) return add_update(batch, *job, unit, urgency);
   if (unit.is_head()) return add_head_of_ended(batch, *job, urgency);
   return add_part_of_ended(batch, *job, unit, urgency);
 }
@@ -103,7 +103,7 @@
 batch_builder::add_result batch_builder::add_head_of_ended(commit_batch& batch, job& job,
                                                            write_urgency urgency) {
   if (ends_in_one_step(job)) return add_final(batch, job, urgency);
-  if (!job.end()) return add_update(batch, job, {job.spec().id, 0}, urgency);
+  if (!job.stored_terminal_state()) return add_update(batch, job, {job.spec().id, 0}, urgency);
   for (std::size_t part = 1; part < job.units().size(); ++part) {
     if (job.units()[part].version.exists()) from_.changes.add_urgent({job.spec().id, part});
   }
@@ -115,14 +115,14 @@
                                                            write_urgency urgency) {
   // It goes together with the head.
   if (ends_in_one_step(job)) return add_result::unchanged;
-  if (!job.end()) return add_result::deferred;
+  if (!job.stored_terminal_state()) return add_result::deferred;
   if (!batch.affords(1)) return add_result::no_room;
   const auto& state = job.units()[unit.index];
   const std::string key = unit_key(unit);
   batch.expect(key, state.version);
   batch.remove(key);
   batch.add_unit({.unit = unit,
-                  .change = state.mutation,
+                  .change = state.latest_change,
                   .kind = unit_write_kind::removal,
                   .urgency = urgency,
                   .end = std::nullopt});
@@ -139,7 +139,7 @@
   // Only a submission makes a head. Were one written for a job that is over, it would be back.
   if (unit.is_head() && !state.version.exists()) batch.expect_absent(final_key(unit.job));
   batch.add_unit({.unit = unit,
-                  .change = state.mutation,
+                  .change = state.latest_change,
                   .kind = unit_write_kind::update,
                   .urgency = urgency,
                   .end = unit.is_head() ? end_as_written(job) : std::nullopt});
@@ -159,13 +159,13 @@
     batch.remove(unit_key(unit));
     batch.add_unit(
         {.unit = unit,
-         .change = state.mutation,
+         .change = state.latest_change,
          .kind = unit.is_head() ? unit_write_kind::replacement_by_final : unit_write_kind::removal,
          .urgency = urgency,
          .end = unit.is_head() ? end_as_written(job) : std::nullopt});
   }
   batch.expect_absent(final_key(id));
-  batch.put(final_key(id), write_final(job));
+  batch.put(final_key(id), encode_final(job));
   return add_result::added;
 }
 
@@ -175,7 +175,7 @@
 /// always small.
 batch_builder::add_result batch_builder::add_value(commit_batch& batch, const job& job,
                                                    const unit_id& unit) {
-  kvstore::json value = unit.is_head() ? write_head(job) : write_part(job, unit.index);
+  kvstore::json value = unit.is_head() ? encode_head(job) : encode_part(job, unit.index);
   const std::size_t bytes = value.dump().size();
   if (bytes > from_.limits.value_bytes()) {
     spdlog::debug("record_too_large job={} unit={} bytes={}", unit.job, unit.index, bytes);
--- a/src/job_store/change_queue.hpp
+++ b/src/job_store/change_queue.hpp
@@ -14,7 +14,7 @@
 /// Whether a user or a worker waits for a change to be stored.
 enum class write_urgency : std::uint8_t {
   urgent,
-  progress,  // may wait a little, for more changes of the same record
+  deferrable,  // may wait a little, for more changes of the same record
 };
 
 /// Units that changed and wait to be written, each at most once: urgent ones, for which a user or
--- a/src/job_store/group_commit.cpp
+++ b/src/job_store/group_commit.cpp
@@ -147,11 +147,12 @@
   if (write.end) job->mark_end_stored(terminal_state(write.end->status, write.end->tasks_done));
   const bool finished = write.kind == unit_write_kind::replacement_by_final;
   // A large job's head was stored with the final status; its removal comes after its parts'.
-  if (write.unit.is_head() && job->leaving() && !finished) {
+  if (write.unit.is_head() && job->is_finalizing() && !finished) {
     job->note_change(unit);
     queue(write.unit, write_urgency::urgent);
   }
-  if (finished) outcome.finished.push_back({.id = write.unit.job, .end = *job->end()});
+  if (finished)
+    outcome.finished.push_back({.id = write.unit.job, .end = *job->stored_terminal_state()});
   outcome.changed.insert(write.unit.job);
 }
 
@@ -220,16 +221,16 @@
   job* job = find_job(jobs_, placement.job);
   if (job == nullptr || placement.task >= job->spec().tasks) return;
   if (job->unit_of(placement.task) != placement.unit) return;
-  if (job->units()[placement.unit].stored >= placement.change) return;
+  if (job->units()[placement.unit].stored_change >= placement.change) return;
   attempt attempt;
   attempt.number = placement.number;
   attempt.machine = placement.machine;
   attempt.incarnation = placement.incarnation;
   attempt.phase = attempt_phase::sent;  // an earlier leader may have sent it
-  attempt.mutation = placement.change;
+  attempt.change = placement.change;
   attempt.logged = true;
   job->restore_logged_attempt(placement.task, attempt);
-  queue({placement.job, placement.unit}, write_urgency::progress);
+  queue({placement.job, placement.unit}, write_urgency::deferrable);
 }
 
 }  // namespace gingerdrift::job_store
--- a/src/job_store/job.cpp
+++ b/src/job_store/job.cpp
@@ -66,13 +66,13 @@
 void job::mark_sent(std::uint32_t task, std::uint64_t heartbeat) {
   auto& placed = attempts_.at(task);
   placed.phase = attempt_phase::sent;
-  placed.sent_after = heartbeat;
+  placed.sent_in_reply_to = heartbeat;
 }
 
 void job::update_phase(std::uint32_t task, attempt_phase phase, time_point now) {
   auto& placed = attempts_.at(task);
-  if (!placed.seen || placed.phase != phase) invalidate_view();
-  placed.seen = true;
+  if (!placed.reported_by_worker || placed.phase != phase) invalidate_view();
+  placed.reported_by_worker = true;
   if (phase == attempt_phase::running && placed.phase != attempt_phase::running) {
     placed.running_since = now;
     gang_started_ = true;
@@ -91,7 +91,7 @@
   invalidate_view();
   gang_started_ = false;
   gang_attempt_ = {};
-  vain_waits_ = 0;
+  gang_wait_timeouts_ = 0;
 }
 
 void job::finish_task(std::uint32_t task) {
@@ -100,55 +100,55 @@
   if (spec_.gang) {
     for (std::uint32_t member = 0; member < spec_.tasks; ++member) done_.insert(member);
   }
-  errors_.clear();
-  error_rounds_ = 0;
+  failures_by_machine_.clear();
+  backoff_rounds_ = 0;
 }
 
 failure_verdict job::record_failure(const machine_name& machine, time_point now,
                                     const failure_policy& policy) {
-  ++errors_[machine];
-  last_error_ = now;
+  ++failures_by_machine_[machine];
+  last_failure_time_ = now;
   invalidate_view();
-  if (errors_.size() < policy.machines) {
+  if (failures_by_machine_.size() < policy.distinct_machines) {
     not_before_ = std::max(not_before_, now + policy.pause);
     return failure_verdict::undecided;
   }
-  const auto doublings = std::min(error_rounds_, policy.most_doublings);
-  ++error_rounds_;
-  back_off_until(
-      now + std::min<duration>(policy.first_backoff * (1 << doublings), policy.longest_backoff));
-  errors_.clear();
-  return failure_verdict::job_fails_everywhere;
+  const auto doublings = std::min(backoff_rounds_, policy.doubling_limit);
+  ++backoff_rounds_;
+  back_off_until(now +
+                 std::min<duration>(policy.first_backoff * (1 << doublings), policy.backoff_limit));
+  failures_by_machine_.clear();
+  return failure_verdict::job_at_fault;
 }
 
-void job::forget_failures() {
-  errors_.clear();
+void job::clear_failures() {
+  failures_by_machine_.clear();
   invalidate_view();
 }
 
 void job::note_change(std::size_t unit) {
   invalidate_view();
-  ++units_[unit].mutation;
+  ++units_[unit].latest_change;
 }
 
 void job::tie_attempt_to_latest_change(std::uint32_t task) {
-  attempts_.at(task).mutation = units_[unit_of(task)].mutation;
+  attempts_.at(task).change = units_[unit_of(task)].latest_change;
 }
 
 bool job::mark_logged(std::uint32_t task, std::uint64_t change) {
   const auto placed = attempts_.find(task);
-  if (placed == attempts_.end() || placed->second.mutation != change) return false;
+  if (placed == attempts_.end() || placed->second.change != change) return false;
   placed->second.logged = true;
   return true;
 }
 
 void job::mark_stored(std::size_t unit, std::uint64_t change) {
-  units_[unit].stored = std::max(units_[unit].stored, change);
+  units_[unit].stored_change = std::max(units_[unit].stored_change, change);
 }
 
 void job::restore_change(std::size_t unit, std::uint64_t change) {
-  units_[unit].mutation = change;
-  units_[unit].stored = change;
+  units_[unit].latest_change = change;
+  units_[unit].stored_change = change;
 }
 
 void job::restore_attempt(std::uint32_t task, const attempt& stored) {
@@ -160,7 +160,7 @@
   restore_attempt(task, logged);
   record_unit& unit = units_[unit_of(task)];
   unit.next_attempt = std::max(unit.next_attempt, logged.number.next());
-  unit.mutation = std::max(unit.mutation, logged.mutation);
+  unit.latest_change = std::max(unit.latest_change, logged.change);
 }
 
 void job::restore_end(const terminal_state& end) {
--- a/src/job_store/job.hpp
+++ b/src/job_store/job.hpp
@@ -39,11 +39,12 @@
   worker_incarnation incarnation;
   // Only in the leader's memory:
   attempt_phase phase = attempt_phase::placed;
-  std::uint64_t mutation = 0;    // stored once its unit has reached this change
-  bool logged = false;           // the placement log has it
-  bool adopted = false;          // found in the store by this term's leader
-  bool seen = false;             // listed by its worker at least once
-  std::uint64_t sent_after = 0;  // sequence number of the heartbeat whose answer carried its start
+  std::uint64_t change = 0;         // stored once its unit has reached this change
+  bool logged = false;              // the placement log has it
+  bool adopted = false;             // found in the store by this term's leader
+  bool reported_by_worker = false;  // listed by its worker at least once
+  std::uint64_t sent_in_reply_to =
+      0;  // sequence number of the heartbeat whose answer carried its start
   bool stopping = false;
   duration grace{};  // to save its work; counts while it is stopping
   time_point running_since{};
@@ -51,12 +52,12 @@
 
 /// A piece of a job that is written as one key: the head, or a part holding a range of tasks.
 struct record_unit {
-  store_revision version;      // the key's, as far as this leader has read or written it
-  std::uint64_t mutation = 1;  // counts changes; stored too, so that the count goes on
-  std::uint64_t stored = 0;    // the newest change that is stored
+  store_revision version;           // the key's, as far as this leader has read or written it
+  std::uint64_t latest_change = 1;  // counts changes; stored too, so that the count goes on
+  std::uint64_t stored_change = 0;  // the newest change that is stored
   attempt_number next_attempt{1};
 
-  bool dirty() const { return stored < mutation; }
+  bool dirty() const { return stored_change < latest_change; }
 };
 
 /// How far the writes that end a job have been sent. One that was sent may be carried out at any
@@ -70,17 +71,17 @@
 /// How failures of a job's tasks delay its next attempts.
 struct failure_policy {
   /// Failures on so many different machines are the job's own.
-  std::size_t machines = 3;
+  std::size_t distinct_machines = 3;
   /// Pause after a failure that may be the machine's.
   duration pause = milliseconds(500);
   /// Back-off of a job that fails everywhere; it doubles each round.
   duration first_backoff{};
-  duration longest_backoff{};
-  std::uint32_t most_doublings = 0;
+  duration backoff_limit{};
+  std::uint32_t doubling_limit = 0;
 };
 
 /// Whose failure it seems to be when a task has failed.
-enum class failure_verdict : std::uint8_t { undecided, job_fails_everywhere };
+enum class failure_verdict : std::uint8_t { undecided, job_at_fault };
 
 /// A job as the leader holds it. Jobs of up to `unit_tasks` tasks are one key; larger ones spill
 /// their attempts and finished ranges into part keys, which keeps every value small.
@@ -119,20 +120,24 @@
   /// Over, and nothing of it can still run: its final record may be written.
   bool ready_to_finalize() const { return !active() && attempts_.empty(); }
   /// How it ended, once that is stored.
-  const std::optional<terminal_state>& end() const { return end_; }
+  const std::optional<terminal_state>& stored_terminal_state() const {
+    return stored_terminal_state_;
+  }
   end_write end_write_sent() const { return end_write_sent_; }
   /// Only its final record remains to be written.
-  bool leaving() const { return leaving_; }
+  bool is_finalizing() const { return is_finalizing_; }
   /// What a scheduling cycle sees of it; empty once anything it shows has changed.
   const std::shared_ptr<const admission::job_view>& view() const { return view_; }
 
   // Failures of its tasks:
 
   /// Counts by machine.
-  const std::map<machine_name, std::uint32_t>& errors() const { return errors_; }
-  time_point last_error() const { return last_error_; }
+  const std::map<machine_name, std::uint32_t>& failures_by_machine() const {
+    return failures_by_machine_;
+  }
+  time_point last_failure_time() const { return last_failure_time_; }
   /// How often it failed everywhere since its last success.
-  std::uint32_t error_rounds() const { return error_rounds_; }
+  std::uint32_t backoff_rounds() const { return backoff_rounds_; }
   /// Nothing of it is placed earlier.
   time_point not_before() const { return not_before_; }
   /// Some member of the gang's attempt under way was seen running.
@@ -149,7 +154,7 @@
   const record_unit& head() const { return units_[0]; }
   /// An attempt may only be sent once it is stored: a successor must know of it.
   bool attempt_stored(std::uint32_t task, const attempt& attempt) const {
-    return attempt.logged || units_[unit_of(task)].stored >= attempt.mutation;
+    return attempt.logged || units_[unit_of(task)].stored_change >= attempt.change;
   }
   /// Parts that are stored, as far as this leader has read or written them.
   std::size_t stored_parts() const;
@@ -193,7 +198,7 @@
   void update_phase(std::uint32_t task, attempt_phase phase, time_point now);
   void mark_stopping(std::uint32_t task, duration grace);
   /// A member has waited in vain for the rest of its gang; returns how many have in this attempt.
-  std::uint32_t count_vain_wait() { return ++vain_waits_; }
+  std::uint32_t count_gang_wait_timeout() { return ++gang_wait_timeouts_; }
   /// Nothing of the gang's attempt is left: the next one has a number of its own.
   void reset_gang_attempt();
   /// The task succeeded, and with it all tasks of a gang. Its failures are forgotten.
@@ -205,7 +210,7 @@
   failure_verdict record_failure(const machine_name& machine, time_point now,
                                  const failure_policy& policy);
   /// The machines it failed on may be tried again.
-  void forget_failures();
+  void clear_failures();
   /// Nothing of it is placed until then.
   void back_off_until(time_point when) { not_before_ = when; }
 
@@ -225,9 +230,9 @@
   /// A write that ends the job was sent.
   void note_end_write(end_write sent) { end_write_sent_ = std::max(end_write_sent_, sent); }
   /// Its end is stored, and may be told.
-  void mark_end_stored(const terminal_state& end) { end_ = end; }
+  void mark_end_stored(const terminal_state& end) { stored_terminal_state_ = end; }
   /// From now on only its final record remains to be written.
-  void start_leaving() { leaving_ = true; }
+  void start_finalizing() { is_finalizing_ = true; }
 
   // Reading its records:
 
@@ -258,16 +263,16 @@
   range_set done_;
   std::uint32_t unit_tasks_;
   std::vector<record_unit> units_;  // [0] the head; parts follow for large jobs
-  std::optional<terminal_state> end_;
+  std::optional<terminal_state> stored_terminal_state_;
   end_write end_write_sent_ = end_write::none;
-  bool leaving_ = false;
-  std::map<machine_name, std::uint32_t> errors_;
-  time_point last_error_{};
-  std::uint32_t error_rounds_ = 0;
+  bool is_finalizing_ = false;
+  std::map<machine_name, std::uint32_t> failures_by_machine_;
+  time_point last_failure_time_{};
+  std::uint32_t backoff_rounds_ = 0;
   time_point not_before_{};
   attempt_number gang_attempt_;  // of the gang's attempt under way
   bool gang_started_ = false;
-  std::uint32_t vain_waits_ = 0;  // members of that attempt that waited in vain
+  std::uint32_t gang_wait_timeouts_ = 0;  // members of that attempt that waited in vain
   std::shared_ptr<const admission::job_view> view_;
 };
 
--- a/src/job_store/job_state.cpp
+++ b/src/job_store/job_state.cpp
@@ -26,7 +26,8 @@
   // Something that it needs may be cancelled, and it with that, though its own record doesn't say
   // so yet: only the leader knows all that it depends on.
   if (record.waiting() && record.active()) return indeterminate{};
-  if (record.end() && !hides_cancellation(record, acknowledgement)) return *record.end();
+  if (record.stored_terminal_state() && !hides_cancellation(record, acknowledgement))
+    return *record.stored_terminal_state();
   return in_progress{record.done().count(), static_cast<std::uint32_t>(record.attempts().size())};
 }
 
@@ -36,7 +37,7 @@
 /// to say that the job goes on could then be an older answer than theirs.
 job_state state_in_memory(const job& job, cancellation_acknowledgement acknowledgement) {
   const bool hidden = hides_cancellation(job, acknowledgement);
-  if (job.end() && !hidden) return *job.end();
+  if (job.stored_terminal_state() && !hidden) return *job.stored_terminal_state();
   const auto indeterminate_from = hidden ? end_write::final_record_sent : end_write::status_sent;
   if (job.end_write_sent() >= indeterminate_from) return indeterminate{};
   // A cancellation on its way to the store is neither told nor denied.
--- a/src/job_store/job_table.cpp
+++ b/src/job_store/job_table.cpp
@@ -26,12 +26,12 @@
   commits_.queue({job.spec().id, unit}, urgency);
 }
 
-void job_table::mark(job& job, std::uint32_t task, write_urgency urgency) {
+void job_table::mark_task(job& job, std::uint32_t task, write_urgency urgency) {
   mark_unit(job, job.unit_of(task), urgency);
 }
 
 void job_table::mark_placed(job& job, std::uint32_t task) {
-  mark(job, task, write_urgency::progress);
+  mark_task(job, task, write_urgency::deferrable);
   const std::size_t unit = job.unit_of(task);
   job.tie_attempt_to_latest_change(task);
   const attempt& attempt = job.attempts().at(task);
@@ -41,12 +41,12 @@
                           .machine = attempt.machine,
                           .incarnation = attempt.incarnation,
                           .unit = unit,
-                          .change = attempt.mutation});
+                          .change = attempt.change});
 }
 
 void job_table::finalize(job& job) {
-  if (job.leaving()) return;
-  job.start_leaving();
+  if (job.is_finalizing()) return;
+  job.start_finalizing();
   for (std::size_t unit = 1; unit < job.units().size(); ++unit) {
     if (job.units()[unit].version.exists()) mark_unit(job, unit, write_urgency::urgent);
   }
@@ -54,7 +54,7 @@
 }
 
 void job_table::when_terminal(const job& job, terminal_fn done) {
-  if (job.end()) return done(job.end());
+  if (job.stored_terminal_state()) return done(job.stored_terminal_state());
   waiters_.add(job.spec().id, std::move(done));
 }
 
@@ -74,7 +74,8 @@
 
 void job_table::answer_waiters(const job_id& id) {
   const job* job = find(id);
-  if (job != nullptr && job->end()) waiters_.answer(id, job->end());
+  if (job != nullptr && job->stored_terminal_state())
+    waiters_.answer(id, job->stored_terminal_state());
 }
 
 /// Who waits for it hears so at once, and asks again.
@@ -95,7 +96,7 @@
 void job_table::remove(const job_id& id, const terminal_state& end) {
   jobs_.erase(id);
   completions_.add(id, runtime_.now());
-  owner_.gone(id, end);
+  owner_.finalized(id, end);
 }
 
 }  // namespace gingerdrift::job_store
--- a/src/job_store/job_table.hpp
+++ b/src/job_store/job_table.hpp
@@ -26,7 +26,7 @@
     /// Some of this job's changes are stored.
     std::function<void(const job_id& id)> stored;
     /// The job's final record is stored, and the job has left the table.
-    std::function<void(const job_id& id, const terminal_state& end)> gone;
+    std::function<void(const job_id& id, const terminal_state& end)> finalized;
     /// All that a transaction stored was told of.
     std::function<void()> committed;
     /// The leader key is another's.
@@ -50,11 +50,11 @@
 
   /// Something of a task has changed. Progress can wait a little, and then goes with whatever else
   /// has changed in the record by that time.
-  void mark(job& job, std::uint32_t task, write_urgency urgency);
+  void mark_task(job& job, std::uint32_t task, write_urgency urgency);
   /// A change of the head that a user waits for.
   void mark_head(job& job) { mark_unit(job, 0, write_urgency::urgent); }
   /// A change of the head that nobody waits for.
-  void mark_head_progress(job& job) { mark_unit(job, 0, write_urgency::progress); }
+  void mark_head_deferrable(job& job) { mark_unit(job, 0, write_urgency::deferrable); }
   /// A new attempt at a task: the placement log stores it at once, its record follows.
   void mark_placed(job& job, std::uint32_t task);
   /// Keys of the placement log, as an earlier leader left them; after all records were read.
--- a/src/job_store/record_codec.cpp
+++ b/src/job_store/record_codec.cpp
@@ -110,7 +110,7 @@
 void encode_tasks(const job& job, std::size_t unit, json& record) {
   const task_range tasks = tasks_of_unit(job, unit);
   record[field::next_attempt] = job.units()[unit].next_attempt.value();
-  record[field::change] = job.units()[unit].mutation;
+  record[field::change] = job.units()[unit].latest_change;
   json finished = encode_finished_tasks(job, tasks);
   if (!finished.empty()) record[field::done] = std::move(finished);
   json attempts = encode_attempts(job, tasks);
@@ -164,7 +164,7 @@
   job.set_version(0, version);
   if (!job.large()) return decode_tasks(job, 0, record);
   for (std::size_t part = 1; part < job.units().size(); ++part)
-    job.mark_stored(part, job.units()[part].mutation);
+    job.mark_stored(part, job.units()[part].latest_change);
   job.restore_change(0, required<std::uint64_t>(record, field::change));
 }
 
@@ -182,7 +182,7 @@
   return "active";
 }
 
-json write_head(const job& job) {
+json encode_head(const job& job) {
   json record = {
       {job.waiting() ? field::spec_of_waiting_job : field::spec, encode_spec(job.spec())},
       {field::created, job.created_ms()},
@@ -196,14 +196,14 @@
                                           job.more_dependencies().count};
   }
   if (job.large()) {
-    record[field::change] = job.units()[0].mutation;
+    record[field::change] = job.units()[0].latest_change;
   } else {
     encode_tasks(job, 0, record);
   }
   return record;
 }
 
-job read_head(const json& record, store_revision version) {
+job decode_head(const json& record, store_revision version) {
   const bool waiting = record.contains(field::spec_of_waiting_job);
   const char* spec_field = waiting ? field::spec_of_waiting_job : field::spec;
   job_spec spec = decode_spec(required_field(record, spec_field));
@@ -222,19 +222,19 @@
   return job;
 }
 
-json write_part(const job& job, std::size_t unit) {
+json encode_part(const job& job, std::size_t unit) {
   json record = json::object();
   encode_tasks(job, unit, record);
   return record;
 }
 
-void read_part(job& job, std::size_t unit, const json& record, store_revision version) {
+void decode_part(job& job, std::size_t unit, const json& record, store_revision version) {
   if (unit == 0 || unit >= job.units().size()) throw record_error({}, "no part of its job");
   job.set_version(unit, version);
   decode_tasks(job, unit, record);
 }
 
-json write_final(const job& job) {
+json encode_final(const job& job) {
   return {{field::status, status_name(job.status())}, {field::done, job.done().count()}};
 }
 
@@ -247,7 +247,7 @@
   return {status, done.get<std::uint32_t>()};
 }
 
-std::optional<terminal_state> read_final(const json& record) {
+std::optional<terminal_state> try_decode_final(const json& record) {
   try {
     return decode_final(record);
   } catch (const record_error&) {
@@ -255,8 +255,8 @@
   }
 }
 
-std::vector<json> write_dependency_parts(const std::vector<job_id>& names,
-                                         std::size_t value_bytes) {
+std::vector<json> encode_dependency_parts(const std::vector<job_id>& names,
+                                          std::size_t value_bytes) {
   constexpr std::size_t name_overhead = 3;  // quotes and a comma
   std::vector<json> parts;
   std::size_t used_bytes = value_bytes;
--- a/src/job_store/record_codec.hpp
+++ b/src/job_store/record_codec.hpp
@@ -18,25 +18,25 @@
 const char* status_name(job_status status);
 
 /// The head record: description and status, and the tasks of a job that fits one key.
-nlohmann::json write_head(const job& job);
+nlohmann::json encode_head(const job& job);
 /// `version`: the key's. The job's parts, if it is large, are still to be read.
-job read_head(const nlohmann::json& record, store_revision version);
+job decode_head(const nlohmann::json& record, store_revision version);
 
 /// A part record of a large job: the tasks of one unit.
-nlohmann::json write_part(const job& job, std::size_t unit);
+nlohmann::json encode_part(const job& job, std::size_t unit);
 /// Reads a part of a job whose head was read. After an error the job holds some of the part.
-void read_part(job& job, std::size_t unit, const nlohmann::json& record, store_revision version);
+void decode_part(job& job, std::size_t unit, const nlohmann::json& record, store_revision version);
 
 /// The final record, which takes the place of all others.
-nlohmann::json write_final(const job& job);
+nlohmann::json encode_final(const job& job);
 /// Reads a final record. Throws record_error if it is malformed.
 terminal_state decode_final(const nlohmann::json& record);
 /// The same without an exception: nothing if the record is malformed.
-std::optional<terminal_state> read_final(const nlohmann::json& record);
+std::optional<terminal_state> try_decode_final(const nlohmann::json& record);
 
 /// Cuts a list of dependencies into values of at most that size.
-std::vector<nlohmann::json> write_dependency_parts(const std::vector<job_id>& names,
-                                                   std::size_t value_bytes);
+std::vector<nlohmann::json> encode_dependency_parts(const std::vector<job_id>& names,
+                                                    std::size_t value_bytes);
 /// Reads a part of a dependency list. Throws record_error if it is malformed.
 std::vector<job_id> decode_dependency_part(const nlohmann::json& record);
 
--- a/src/job_store/record_layout.cpp
+++ b/src/job_store/record_layout.cpp
@@ -33,8 +33,8 @@
   return static_cast<std::uint32_t>(std::max<std::size_t>(in_part, job::least_unit));
 }
 
-job job_announced(job_spec spec, std::int64_t created_ms, std::size_t value_bytes) {
-  const std::size_t head_bytes = write_head(job(spec, created_ms)).dump().size();
+job create_job(job_spec spec, std::int64_t created_ms, std::size_t value_bytes) {
+  const std::size_t head_bytes = encode_head(job(spec, created_ms)).dump().size();
   const std::uint32_t unit_tasks = unit_tasks_for(spec.tasks, head_bytes, value_bytes);
   return {std::move(spec), created_ms, unit_tasks};
 }
--- a/src/job_store/record_layout.hpp
+++ b/src/job_store/record_layout.hpp
@@ -13,6 +13,6 @@
 std::uint32_t unit_tasks_for(std::uint32_t tasks, std::size_t head_bytes, std::size_t value_bytes);
 
 /// A job as it is accepted, with its unit size planned for values of at most that size.
-job job_announced(job_spec spec, std::int64_t created_ms, std::size_t value_bytes);
+job create_job(job_spec spec, std::int64_t created_ms, std::size_t value_bytes);
 
 }  // namespace gingerdrift::job_store
--- a/src/job_store/terminal_state.hpp
+++ b/src/job_store/terminal_state.hpp
@@ -28,7 +28,7 @@
   terminal_state(job_status status, std::uint32_t tasks_done)
       : status_(status), tasks_done_(tasks_done) {}
   friend terminal_state decode_final(const nlohmann::json& record);
-  friend job read_head(const nlohmann::json& record, store_revision version);
+  friend job decode_head(const nlohmann::json& record, store_revision version);
   friend class group_commit;  // once the state service has acknowledged the write
 
   job_status status_;
--- a/src/leader/job_loader.cpp
+++ b/src/leader/job_loader.cpp
@@ -95,7 +95,7 @@
     fetch_later(id);
     return;
   }
-  job_store::job job = job_store::read_head(record.value, record.version);
+  job_store::job job = job_store::decode_head(record.value, record.version);
   if (job.spec().id != id) throw std::invalid_argument("it names another job");
   if (teams_.count(job.spec().team) == 0) {
     spdlog::error("job_of_unknown_team job={} team={}", id, job.spec().team);
@@ -110,7 +110,7 @@
   const auto slash = name.rfind('/');
   job_store::job* job = jobs_.find(job_id(name.substr(0, slash)));
   if (job == nullptr || recovered_) return;
-  job_store::read_part(*job, std::stoul(name.substr(slash + 1)), record.value, record.version);
+  job_store::decode_part(*job, std::stoul(name.substr(slash + 1)), record.value, record.version);
 }
 
 void job_loader::watch_new_jobs() {
--- a/src/leader/leader_term.cpp
+++ b/src/leader/leader_term.cpp
@@ -96,8 +96,8 @@
                 dependencies_.job_stored(id);
                 loop_.request_cycle();
               },
-          .gone = [this](const job_id& id,
-                         const job_store::terminal_state& end) { job_finished(id, end); },
+          .finalized = [this](const job_id& id,
+                              const job_store::terminal_state& end) { job_finished(id, end); },
           .committed = [this] { heartbeats_.answer_held(); },
           // The term ends with that call, so it must not come from within.
           .deposed = [this] { runtime_.after(duration::zero(), callbacks_.deposed); },
--- a/src/leader/snapshot_builder.cpp
+++ b/src/leader/snapshot_builder.cpp
@@ -92,7 +92,7 @@
     if (job.spec().gang && !job.attempts().empty() && !view->waiting.empty() && !takes_replacements)
       view->held_back = true;
   }
-  for (const auto& [machine, count] : job.errors()) view->avoid.insert(machine);
+  for (const auto& [machine, count] : job.failures_by_machine()) view->avoid.insert(machine);
   if (attempts.all_pools_known) job.cache_view(view);
   return view;
 }
@@ -139,7 +139,8 @@
     placed.running = attempt.phase == job_store::attempt_phase::running;
     placed.stopping = attempt.stopping;
     if (placed.running) placed.running_since = attempt.running_since;
-    if (attempt.stopping || !attempt.seen || placed.running) summary.all_still_starting = false;
+    if (attempt.stopping || !attempt.reported_by_worker || placed.running)
+      summary.all_still_starting = false;
     view.placed.push_back(std::move(placed));
   }
   return summary;
@@ -173,7 +174,7 @@
 /// A job that failed everywhere is tried with one task: hundreds that all fail hold room and
 /// images, time after time, that others wait for. Its first success sets it free.
 std::size_t snapshot_builder::most_waiting_tasks(const job_store::job& job) const {
-  const bool failing = job.error_rounds() > 0 && !job.spec().gang;
+  const bool failing = job.backoff_rounds() > 0 && !job.spec().gang;
   if (failing) return job.attempts().empty() ? 1 : 0;
   return std::max(least_waiting_in_view, workers_.all().size());
 }
--- a/src/workers/attempt_outcomes.cpp
+++ b/src/workers/attempt_outcomes.cpp
@@ -16,7 +16,7 @@
 void attempt_outcomes::complete_task(job_store::job& job, std::uint32_t task) {
   release_place(job, task);
   job.finish_task(task);
-  jobs_.mark(job, task, job_store::write_urgency::progress);
+  jobs_.mark_task(job, task, job_store::write_urgency::deferrable);
   if (job.complete_if_all_tasks_done()) jobs_.mark_head(job);
   if (job.ready_to_finalize()) jobs_.finalize(job);
   events_.changed();
@@ -41,7 +41,7 @@
 
 void attempt_outcomes::end_attempt(job_store::job& job, std::uint32_t task) {
   release_place(job, task);
-  jobs_.mark(job, task, job_store::write_urgency::progress);
+  jobs_.mark_task(job, task, job_store::write_urgency::deferrable);
 }
 
 void attempt_outcomes::after_loss(job_store::job& job, bool replaceable) {
--- a/src/workers/exit_handler.cpp
+++ b/src/workers/exit_handler.cpp
@@ -33,7 +33,7 @@
   // The others may be fetching still: to stop them would lose their fetches, and where an image
   // takes longer than a member may wait, a gang that began anew each time once never began at all.
   const bool replaceable =
-      cause == exit_cause::alone && job.count_vain_wait() < most_waits * job.spec().tasks;
+      cause == exit_cause::alone && job.count_gang_wait_timeout() < most_waits * job.spec().tasks;
   outcomes_.after_loss(job, replaceable);
 }
 
@@ -43,7 +43,7 @@
   if (job == nullptr || status.task >= job->spec().tasks) return true;
   const auto& unit = job->units()[job->unit_of(status.task)];
   const auto exit = sender.exits.find({{status.job, status.task}, status.number});
-  if (exit != sender.exits.end() && unit.stored >= exit->second) return true;
+  if (exit != sender.exits.end() && unit.stored_change >= exit->second) return true;
   // An exit that an earlier leader dealt with: the record has nothing left to store of it.
   const auto attempt = job->attempts().find(status.task);
   if (attempt == job->attempts().end()) return !unit.dirty();
@@ -52,7 +52,7 @@
 
 void exit_handler::await_storage(worker& sender, const job_store::job& job,
                                  const attempt_id& attempt) {
-  sender.exits[attempt] = job.units()[job.unit_of(attempt.task.index)].mutation;
+  sender.exits[attempt] = job.units()[job.unit_of(attempt.task.index)].latest_change;
 }
 
 }  // namespace gingerdrift::workers
--- a/src/workers/failure_tracker.cpp
+++ b/src/workers/failure_tracker.cpp
@@ -20,19 +20,19 @@
 }  // namespace
 
 void failure_tracker::note_error(worker& machine, job_store::job& job) {
-  const job_store::failure_policy policy{.machines = failing_job_machines,
+  const job_store::failure_policy policy{.distinct_machines = failing_job_machines,
                                          .pause = shortest_backoff,
                                          .first_backoff = options_.failing_job_backoff,
-                                         .longest_backoff = longest_backoff,
-                                         .most_doublings = max_backoff_doublings};
+                                         .backoff_limit = longest_backoff,
+                                         .doubling_limit = max_backoff_doublings};
   const auto verdict = job.record_failure(machine.name, runtime_.now(), policy);
-  if (verdict == job_store::failure_verdict::job_fails_everywhere)
-    spdlog::info("job_failing job={} round={}", job.spec().id, job.error_rounds());
+  if (verdict == job_store::failure_verdict::job_at_fault)
+    spdlog::info("job_failing job={} round={}", job.spec().id, job.backoff_rounds());
   // Jobs that fail elsewhere too say nothing about a machine: two broken jobs that happened to meet
   // on one would have it returned.
-  if (job.error_rounds() > 0) return;
-  if (job.errors().size() > 1) {
-    for (const auto& [name, count] : job.errors()) {
+  if (job.backoff_rounds() > 0) return;
+  if (job.failures_by_machine().size() > 1) {
+    for (const auto& [name, count] : job.failures_by_machine()) {
       if (worker* other = workers_.find(name); other != nullptr)
         clear_suspicion(*other, job.spec().id);
     }
@@ -50,8 +50,10 @@
 
 void failure_tracker::forget_old_failures() {
   for (auto& [id, job] : jobs_.all()) {
-    if (job.errors().empty() || runtime_.now() - job.last_error() < error_memory) continue;
-    job.forget_failures();
+    if (job.failures_by_machine().empty() ||
+        runtime_.now() - job.last_failure_time() < error_memory)
+      continue;
+    job.clear_failures();
   }
 }
 
--- a/src/workers/heartbeat_reconciliation.cpp
+++ b/src/workers/heartbeat_reconciliation.cpp
@@ -51,7 +51,7 @@
 
 void heartbeat_reconciliation::apply_phase(job_store::job& job, const task_status& status) {
   const auto& present = job.attempts().at(status.task);
-  if (!present.seen || present.phase != status.phase) job.invalidate_view();
+  if (!present.reported_by_worker || present.phase != status.phase) job.invalidate_view();
   const bool exited = status.phase == attempt_phase::exited;
   // Such an exit may be the one before this very attempt: a member that waited in vain is started
   // again under its number. Only who has heard us in this term surely speaks of the present one.
@@ -103,7 +103,7 @@
     const job_store::job& job, std::uint32_t task, const job_store::attempt& attempt) const {
   // The heartbeat is of another incarnation than the one that the attempt was placed on.
   if (attempt.incarnation != heartbeat_.incarnation) return missing_attempt::not_concerned;
-  if (attempt.seen) return missing_attempt::left_the_heartbeat;
+  if (attempt.reported_by_worker) return missing_attempt::left_the_heartbeat;
   // An earlier leader's start that the worker does not have: it may have been proven gone, and
   // its room given away, before that was stored. Started again, it once took a team over its
   // limit.
@@ -113,7 +113,8 @@
   if (attempt.stopping || job.status() != job_status::active) return missing_attempt::never_started;
   // It was sent in the answer to an earlier heartbeat, and this newer one does not list it: the
   // worker never took that answer, and drops it should it still come.
-  const bool sent_before = attempt.sent_after != 0 && attempt.sent_after < heartbeat_.sequence;
+  const bool sent_before =
+      attempt.sent_in_reply_to != 0 && attempt.sent_in_reply_to < heartbeat_.sequence;
   if (sent_before && shows_our_token()) return missing_attempt::start_not_taken;
   // A start is sent under a lease that is surely held, and only once it is stored: a successor
   // has to know of it.
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -201,21 +201,21 @@
 
 TEST(wire, final_records_that_are_malformed_are_no_state) {
   for (const char* text : {"null", "3", "{}", R"({"status":4})", R"({"status":"lost"})"})
-    EXPECT_FALSE(job_store::read_final(json::parse(text)).has_value()) << text;
-  const auto terminal = job_store::read_final(json::parse(R"({"status":"done","done":7})"));
+    EXPECT_FALSE(job_store::try_decode_final(json::parse(text)).has_value()) << text;
+  const auto terminal = job_store::try_decode_final(json::parse(R"({"status":"done","done":7})"));
   ASSERT_TRUE(terminal.has_value());
   EXPECT_EQ(terminal->tasks_done(), 7U);
 }
 
 TEST(wire, large_jobs_spill_and_are_read_back_whole) {
   const job_store::job written = large_array();
-  const json head = job_store::write_head(written);
+  const json head = job_store::encode_head(written);
   std::size_t biggest = head.dump().size();
-  job_store::job read = job_store::read_head(head, store_revision(1));
+  job_store::job read = job_store::decode_head(head, store_revision(1));
   for (std::size_t unit = 1; unit < written.units().size(); ++unit) {
-    const json part = job_store::write_part(written, unit);
+    const json part = job_store::encode_part(written, unit);
     biggest = std::max(biggest, part.dump().size());
-    job_store::read_part(read, unit, part, store_revision(2));
+    job_store::decode_part(read, unit, part, store_revision(2));
   }
   EXPECT_LT(biggest, 4096U);
   EXPECT_EQ(read.done().ranges(), written.done().ranges());
--- a/tests/dependency_tracker_test.cpp
+++ b/tests/dependency_tracker_test.cpp
@@ -24,7 +24,7 @@
         tracker(runtime_, client, table, *this) {}
 
   void take_job(const kvstore::entry& head, time_point) override {
-    tracker.job_added(table.insert(job_store::read_head(head.value, head.version)));
+    tracker.job_added(table.insert(job_store::decode_head(head.value, head.version)));
   }
   /// Reads the heads behind that key, page after page, and then starts.
   void load(const std::string& after) {
@@ -37,9 +37,9 @@
 
  private:
   job_store::job_table::hooks owner() {
-    auto owner = idle_owner();
+    auto owner = no_op_hooks();
     owner.stored = [this](const job_id& id) { tracker.job_stored(id); };
-    owner.gone = [this](const job_id& id, const job_store::terminal_state& end) {
+    owner.finalized = [this](const job_id& id, const job_store::terminal_state& end) {
       tracker.job_finalized(id, end);
     };
     return owner;
@@ -81,13 +81,13 @@
     job.wait_for({}, {.prefix = "gd/dependencies/" + id.str() + "/", .count = 1});
     write("gd/dependencies/" + id.str() + "/0",
           stored_list.is_null() ? json(texts_of(dependencies)) : stored_list);
-    write(job_store::head_key(id), job_store::write_head(job));
+    write(job_store::head_key(id), job_store::encode_head(job));
     store_revision version;
     client.get(job_store::head_key(id),
                [&](const kvstore::result& found) { version = found.entries.front().version; });
     net.run_for(milliseconds(25));
     job_store::job& stored =
-        table.insert(job_store::read_head(*state.peek(job_store::head_key(id)), version));
+        table.insert(job_store::decode_head(*state.peek(job_store::head_key(id)), version));
     tracker.job_added(stored);
     return stored;
   }
@@ -183,7 +183,7 @@
 }
 
 TEST_F(waiting_jobs, take_a_dependency_that_was_accepted_elsewhere_from_its_head) {
-  write("gd/job/run-1", job_store::write_head(make_job("run-1")));
+  write("gd/job/run-1", job_store::encode_head(make_job("run-1")));
   net.run_for(seconds(1));
   const job_store::job& next = add("run-2", {"run-1"});
   net.run_for(seconds(1));
@@ -290,7 +290,7 @@
   void accept_members() {
     for (int i = 0; i < width; ++i) {
       const job_id dependency = i < width / 2 ? job_id("run-1") : member(i - width / 2);
-      const json head = job_store::write_head(make_waiting_job(member(i), {dependency}));
+      const json head = job_store::encode_head(make_waiting_job(member(i), {dependency}));
       const std::string key = job_store::head_key(member(i));
       client.txn({}, {kvstore::operation::put(key, head)}, [](const kvstore::result&) {});
       net.run_for(milliseconds(40));
--- a/tests/job_builder.hpp
+++ b/tests/job_builder.hpp
@@ -50,9 +50,9 @@
 }
 
 /// Of a leader that keeps its lease and does nothing with what it is told.
-inline job_store::job_table::hooks idle_owner() {
+inline job_store::job_table::hooks no_op_hooks() {
   return {.stored = [](const job_id&) {},
-          .gone = [](const job_id&, const job_store::terminal_state&) {},
+          .finalized = [](const job_id&, const job_store::terminal_state&) {},
           .committed = [] {},
           .deposed = [] {},
           .may_write = [] { return true; }};
--- a/tests/job_loader_test.cpp
+++ b/tests/job_loader_test.cpp
@@ -11,7 +11,7 @@
   void store_job(const job_id& id, const std::string& team = "red") {
     auto spec = spec_of(id, 1);
     spec.team = team;
-    store_record(job_store::head_key(id), job_store::write_head({std::move(spec), 0}));
+    store_record(job_store::head_key(id), job_store::encode_head({std::move(spec), 0}));
   }
   void recover() {
     loader.start();
@@ -28,7 +28,7 @@
        .cached_terminal_state =
            [this](const job_id& id) -> std::optional<job_store::terminal_state> {
          if (ended.count(id) == 0) return std::nullopt;
-         return job_store::read_final({{"status", "done"}, {"done", 1U}});
+         return job_store::try_decode_final({{"status", "done"}, {"done", 1U}});
        }}};
 };
 }  // namespace
@@ -36,7 +36,7 @@
 TEST_F(job_loader_test, reads_all_records_once) {
   for (int i = 0; i < 300; ++i)
     store_record("gd/job/run-" + std::to_string(i),
-                 job_store::write_head(job_announced(job_id("run-" + std::to_string(i)), 1)));
+                 job_store::encode_head(job_announced(job_id("run-" + std::to_string(i)), 1)));
   recover();
   EXPECT_EQ(jobs.all().size(), 300U);
   EXPECT_EQ(times_recovered, 1);
--- a/tests/job_state_test.cpp
+++ b/tests/job_state_test.cpp
@@ -21,7 +21,7 @@
 job_store::job two_task_job(const job_id& id) { return make_job(id, 2); }
 
 job_store::terminal_state terminal_state_of(const std::string& status) {
-  return *job_store::read_final({{"status", status}, {"done", 2U}});
+  return *job_store::try_decode_final({{"status", status}, {"done", 2U}});
 }
 
 std::string state_name(const job_store::job_state& state) {
@@ -142,11 +142,11 @@
 }
 
 TEST_F(users_api_of_a_node, shows_what_the_records_say) {
-  put("gd/job/run-1", job_store::write_head(two_task_job("run-1")));
+  put("gd/job/run-1", job_store::encode_head(two_task_job("run-1")));
   put("gd/final/run-2", {{"status", "done"}, {"done", 2U}});
   job_store::job cancelled = two_task_job("run-3");
   cancelled.cancel();
-  put("gd/job/run-3", job_store::write_head(cancelled));
+  put("gd/job/run-3", job_store::encode_head(cancelled));
   EXPECT_EQ(state_shown_of("run-1"), "200 pending");
   EXPECT_EQ(state_shown_of("run-2"), "200 done");
   EXPECT_EQ(state_shown_of("run-3"), "200 cancelled");
@@ -159,13 +159,13 @@
   put("gd/final/run-3", {{"status", "done"}, {"done", 100001U}});
   put("gd/final/run-4", 7);
   put("gd/job/run-5", {{"status", "active"}});
-  json head = job_store::write_head(two_task_job("run-6"));
+  json head = job_store::encode_head(two_task_job("run-6"));
   head["status"] = "finished";
   put("gd/job/run-6", head);
-  put("gd/job/run-7", job_store::write_head(two_task_job("run-8")));
-  put("gd/job/run-9", job_store::write_head(two_task_job("run-9")));
+  put("gd/job/run-7", job_store::encode_head(two_task_job("run-8")));
+  put("gd/job/run-9", job_store::encode_head(two_task_job("run-9")));
   put("gd/final/run-9", {{"status", "done"}, {"done", 2U}});
-  head = job_store::write_head(two_task_job("run-10"));
+  head = job_store::encode_head(two_task_job("run-10"));
   head["attempts"] = {{2, 1, "n-1", 1}};
   put("gd/job/run-10", head);
   for (const int number : {1, 2, 3, 4, 5, 6, 7, 9, 10})
@@ -173,7 +173,7 @@
 }
 
 TEST_F(users_api_of_a_node, drops_a_reading_that_was_delayed_by_a_pause_of_the_process) {
-  put("gd/job/run-1", job_store::write_head(two_task_job("run-1")));
+  put("gd/job/run-1", job_store::encode_head(two_task_job("run-1")));
   put("gd/final/run-2", {{"status", "done"}, {"done", 2U}});
   state.slow(milliseconds(200), seconds(60));
   const auto ask_and_freeze = [this](const std::string& id, double until_reading_s) {
@@ -208,7 +208,7 @@
 
 TEST_F(users_api_of_a_node, reads_the_store_while_the_leaders_memory_is_indeterminate) {
   put("gd/final/run-1", {{"status", "done"}, {"done", 2U}});
-  put("gd/job/run-2", job_store::write_head(two_task_job("run-2")));
+  put("gd/job/run-2", job_store::encode_head(two_task_job("run-2")));
   memory = job_store::indeterminate{};
   EXPECT_EQ(state_shown_of("run-1"), "200 done");
   EXPECT_EQ(state_shown_of("run-2"), "200 pending");
@@ -225,8 +225,8 @@
  protected:
   leaders_job_table() {
     state.limit(wide);
-    auto owner = idle_owner();
-    owner.gone = [this](const job_id& id, const job_store::terminal_state& end) {
+    auto owner = no_op_hooks();
+    owner.finalized = [this](const job_id& id, const job_store::terminal_state& end) {
       gone[id] = job_store::status_name(end.status());
     };
     owner.may_write = [this] { return holds_lease; };
@@ -235,7 +235,7 @@
   /// Accepted, and held by the table.
   job_store::job& accepted(const job_id& id) {
     job_store::job job = two_task_job(id);
-    client.txn({}, {kvstore::operation::put("gd/job/" + id.str(), job_store::write_head(job))},
+    client.txn({}, {kvstore::operation::put("gd/job/" + id.str(), job_store::encode_head(job))},
                [&](const kvstore::result& answer) { job.set_version(0, answer.revision); });
     net.run_for(milliseconds(50));
     return table->insert(std::move(job));
@@ -325,7 +325,7 @@
   EXPECT_EQ(job.end_write_sent(), end_write::none);
   net.run_for(milliseconds(100));
   EXPECT_EQ(state.peek("gd/job/run-1")->at("status"), "done") << "others read this";
-  EXPECT_FALSE(job.end().has_value());
+  EXPECT_FALSE(job.stored_terminal_state().has_value());
   EXPECT_EQ(state_name(job_store::state_in_memory(job, cancellation_acknowledgement::when_stored)),
             "indeterminate");
   net.run_for(seconds(5));
--- a/tests/job_test.cpp
+++ b/tests/job_test.cpp
@@ -26,7 +26,7 @@
 /// The field that a head is refused for.
 std::string refused_field(const json& head) {
   try {
-    job_store::read_head(head, store_revision(1));
+    job_store::decode_head(head, store_revision(1));
   } catch (const record_error& error) {
     return error.field();
   }
@@ -84,27 +84,27 @@
 }
 
 TEST(job, backs_off_longer_each_time_it_fails_on_several_machines) {
-  const job_store::failure_policy policy{.machines = 2,
+  const job_store::failure_policy policy{.distinct_machines = 2,
                                          .pause = milliseconds(500),
                                          .first_backoff = seconds(5),
-                                         .longest_backoff = seconds(8),
-                                         .most_doublings = 5};
+                                         .backoff_limit = seconds(8),
+                                         .doubling_limit = 5};
   job_store::job job = make_job("run-1");
   EXPECT_EQ(job.record_failure("n-1", now, policy), failure_verdict::undecided);
   EXPECT_EQ(job.not_before(), now + milliseconds(500));
   EXPECT_EQ(job.record_failure("n-1", now, policy), failure_verdict::undecided);
-  EXPECT_EQ(job.record_failure("n-2", now, policy), failure_verdict::job_fails_everywhere);
+  EXPECT_EQ(job.record_failure("n-2", now, policy), failure_verdict::job_at_fault);
   EXPECT_EQ(job.not_before(), now + seconds(5));
-  EXPECT_TRUE(job.errors().empty());
+  EXPECT_TRUE(job.failures_by_machine().empty());
   job.record_failure("n-1", now, policy);
   job.record_failure("n-2", now, policy);
   EXPECT_EQ(job.not_before(), now + seconds(8));
   job.finish_task(0);
-  EXPECT_EQ(job.error_rounds(), 0U);
+  EXPECT_EQ(job.backoff_rounds(), 0U);
 }
 
 TEST(record_codec, names_the_field_that_is_malformed) {
-  const json head = job_store::write_head(make_job("run-1", 2));
+  const json head = job_store::encode_head(make_job("run-1", 2));
   EXPECT_EQ(refused_field(head), "none");
   for (const char* field : {"created", "unit", "status", "next_try", "change", "spec"}) {
     json without = head;
--- a/tests/leader_parts.hpp
+++ b/tests/leader_parts.hpp
@@ -121,7 +121,7 @@
                             {"gd/leader", {}},
                             wide_limits,
                             {.stored = [](const job_id&) {},
-                             .gone = [](const job_id&, const job_store::terminal_state&) {},
+                             .finalized = [](const job_id&, const job_store::terminal_state&) {},
                              .committed = [] {},
                              .deposed = [] {},
                              .may_write = [this] { return lease_valid; }}};
--- a/tests/leader_term_test.cpp
+++ b/tests/leader_term_test.cpp
@@ -81,7 +81,7 @@
     spec.team = "red";
     job_store::job job(std::move(spec), 0);
     if (!dependencies.empty()) job.wait_for(std::move(dependencies));
-    client.txn({}, {{job_store::head_key(id), job_store::write_head(job), 0, false}},
+    client.txn({}, {{job_store::head_key(id), job_store::encode_head(job), 0, false}},
                [](const kvstore::result& answer) { ASSERT_TRUE(answer.ok()); });
     net.run_for(milliseconds(20));
   }
--- a/tests/reconciler_test.cpp
+++ b/tests/reconciler_test.cpp
@@ -59,7 +59,7 @@
         client(runtime, "state:1", limits, std::nullopt, {1, 1, 0.5}),
         jobs(runtime, client, {"gd/leader", {}}, limits,
              {.stored = [](const job_id&) {},
-              .gone = [](const job_id&, const job_store::terminal_state&) {},
+              .finalized = [](const job_id&, const job_store::terminal_state&) {},
               .committed = [] {},
               .deposed = [] {},
               .may_write = [this] { return lease_valid; }}),
@@ -69,7 +69,7 @@
     spec.team = "red";
     spec.tasks = 3;
     job_store::job job(std::move(spec), 0);
-    job.mark_stored(0, job.head().mutation);
+    job.mark_stored(0, job.head().latest_change);
     job_store::attempt attempt;
     attempt.number = attempt_number(1);
     attempt.machine = machine;
@@ -290,17 +290,17 @@
     for (const machine_name& name : std::vector<machine_name>{"m", "n", "o"})
       fail_on(name, attempt_number(100 + round));
   }
-  EXPECT_EQ(job().error_rounds(), 9U);
+  EXPECT_EQ(job().backoff_rounds(), 9U);
   EXPECT_GT(job().not_before(), net.now() + seconds(30));
   EXPECT_LE(job().not_before(), net.now() + seconds(60));
   fail_on(machine, attempt_number(200));
-  EXPECT_EQ(job().errors().size(), 1U);
+  EXPECT_EQ(job().failures_by_machine().size(), 1U);
   net.run_for(seconds(30));
   under_test.forget_old_failures();
-  EXPECT_EQ(job().errors().size(), 1U);
+  EXPECT_EQ(job().failures_by_machine().size(), 1U);
   net.run_for(seconds(20));
   under_test.forget_old_failures();
-  EXPECT_TRUE(job().errors().empty());
+  EXPECT_TRUE(job().failures_by_machine().empty());
 }
 
 TEST_F(reconciler, machine_rented_in_this_term_is_used_from_its_first_heartbeat_on) {
--- a/tests/snapshot_builder_test.cpp
+++ b/tests/snapshot_builder_test.cpp
@@ -41,9 +41,9 @@
 // Guards against: hundreds of tasks that all fail held room and images, time after time.
 TEST_F(snapshot_builder_test, shows_a_job_that_failed_everywhere_with_one_task) {
   auto& job = add_job("run-1", 4);
-  const job_store::failure_policy one_machine_is_enough{.machines = 1};
+  const job_store::failure_policy one_machine_is_enough{.distinct_machines = 1};
   ASSERT_EQ(job.record_failure("m-1", net.now(), one_machine_is_enough),
-            job_store::failure_verdict::job_fails_everywhere);
+            job_store::failure_verdict::job_at_fault);
   EXPECT_EQ(view_of_job().waiting.size(), 1U);
 }
 
--- a/tests/store_test.cpp
+++ b/tests/store_test.cpp
@@ -24,7 +24,7 @@
   sim_runtime runtime(net, "node-0");
   kvstore::client client(runtime, "state:1", limits, std::nullopt, half_for_users);
   std::size_t stored = 0;
-  auto owner = idle_owner();
+  auto owner = no_op_hooks();
   owner.stored = [&](const job_id&) { ++stored; };
   job_store::job_table table(runtime, client, leader_key, limits, owner);
   for (int i = 0; i < 100; ++i) table.insert(make_job(numbered_job(i), 3));
@@ -76,8 +76,10 @@
     table = std::make_unique<job_store::job_table>(runtime, client, leader_key, sizes, owner());
   }
   job_store::job_table::hooks owner() {
-    auto owner = idle_owner();
-    owner.gone = [this](const job_id& id, const job_store::terminal_state&) { gone.push_back(id); };
+    auto owner = no_op_hooks();
+    owner.finalized = [this](const job_id& id, const job_store::terminal_state&) {
+      gone.push_back(id);
+    };
     return owner;
   }
   /// As an earlier version may have written it: more attempts than a small value holds.
@@ -119,11 +121,11 @@
 
   while (job.attempts().size() > 10) {
     job.remove_attempt(job.attempts().begin()->first);
-    table->mark(job, 0, job_store::write_urgency::progress);
+    table->mark_task(job, 0, job_store::write_urgency::deferrable);
   }
   net.run_for(seconds(2));
   EXPECT_NE(state.peek("gd/job/run-1"), nullptr) << "small enough by now";
-  EXPECT_TRUE(job.end().has_value());
+  EXPECT_TRUE(job.stored_terminal_state().has_value());
 
   remove_all_attempts(job);
   table->finalize(job);
@@ -183,7 +185,7 @@
   job_store::job& job = table->insert(make_job("run-1", 100, 50));
   for (const std::uint32_t task : {1U, 60U}) {
     place_first_attempt(job, task, "n-100000");
-    table->mark(job, task, job_store::write_urgency::urgent);
+    table->mark_task(job, task, job_store::write_urgency::urgent);
   }
   table->mark_head(job);
   net.run_for(seconds(1));
--- a/tests/upgrade_formats_test.cpp
+++ b/tests/upgrade_formats_test.cpp
@@ -26,8 +26,8 @@
 }
 
 job_store::job accepted(std::uint32_t tasks, bool gang = false) {
-  return job_store::job_announced(api::read_job(submission(tasks, gang).body()).spec, 1234567,
-                                  value_bytes);
+  return job_store::create_job(api::read_job(submission(tasks, gang).body()).spec, 1234567,
+                               value_bytes);
 }
 
 void add_attempts(job_store::job& job) {
@@ -52,7 +52,7 @@
 std::vector<std::string> parts_of(const job_store::job& job) {
   std::vector<std::string> parts;
   for (std::size_t unit = 1; unit < job.units().size(); ++unit)
-    parts.push_back(job_store::write_part(job, unit).dump());
+    parts.push_back(job_store::encode_part(job, unit).dump());
   return parts;
 }
 
@@ -72,7 +72,7 @@
       job_store::job job = accepted(tasks, tasks == 16);
       add_attempts(job);
       if (status != job_store::job_status::active) end_as(job, status);
-      const json head = job_store::write_head(job);
+      const json head = job_store::encode_head(job);
       const auto parts = parts_of(job);
       std::vector<std::string> rewritten_parts;
       const auto rewritten = former.rewrite_head(head.dump(), parts, rewritten_parts);
@@ -87,12 +87,12 @@
   for (const double value_kb : {2.0, 8.0, 32.0}) {
     for (const std::uint32_t tasks : {1U, 40U, 100U, 300U}) {
       const auto text = former.accept(submission(tasks, false).body(), 987654, value_kb);
-      job_store::job job = job_store::read_head(json::parse(text), store_revision(5));
+      job_store::job job = job_store::decode_head(json::parse(text), store_revision(5));
       EXPECT_EQ(job.created_ms(), 987654);
       EXPECT_FALSE(job.waiting());
       EXPECT_EQ(job.queued_ms(), job.created_ms());
       EXPECT_EQ(job.spec().tasks, tasks);
-      EXPECT_EQ(job_store::write_head(job), json::parse(text)) << "and written again as it was";
+      EXPECT_EQ(job_store::encode_head(job), json::parse(text)) << "and written again as it was";
     }
   }
 }
@@ -103,15 +103,15 @@
   job_store::job job = accepted(20);
   job.become_ready(7777777);
   std::vector<std::string> no_parts;
-  const auto rewritten = former.rewrite_head(job_store::write_head(job).dump(), {}, no_parts);
+  const auto rewritten = former.rewrite_head(job_store::encode_head(job).dump(), {}, no_parts);
   ASSERT_TRUE(rewritten.has_value());
-  json expected = job_store::write_head(job);
+  json expected = job_store::encode_head(job);
   if (!former.keeps_ready_time()) expected.erase("ready");
   EXPECT_EQ(json::parse(*rewritten), expected);
-  EXPECT_EQ(job_store::read_head(job_store::write_head(job), store_revision(1)).queued_ms(),
+  EXPECT_EQ(job_store::decode_head(job_store::encode_head(job), store_revision(1)).queued_ms(),
             7777777);
   const auto age_counts_from = former.keeps_ready_time() ? 7777777 : job.created_ms();
-  EXPECT_EQ(job_store::read_head(json::parse(*rewritten), store_revision(1)).queued_ms(),
+  EXPECT_EQ(job_store::decode_head(json::parse(*rewritten), store_revision(1)).queued_ms(),
             age_counts_from);
 }
 
@@ -120,17 +120,17 @@
 TEST_P(upgrade_formats, former_version_keeps_or_ignores_a_waiting_job) {
   job_store::job job = accepted(20);
   job.wait_for(std::vector<job_id>{"run-1", "run-2"});
-  const json head = job_store::write_head(job);
+  const json head = job_store::encode_head(job);
   std::vector<std::string> no_parts;
   const auto rewritten = former.rewrite_head(head.dump(), {}, no_parts);
   ASSERT_EQ(rewritten.has_value(), former.supports_dependencies());
   if (rewritten) {
     EXPECT_EQ(json::parse(*rewritten), head);
   }
-  const job_store::job read = job_store::read_head(head, store_revision(3));
+  const job_store::job read = job_store::decode_head(head, store_revision(3));
   EXPECT_TRUE(read.waiting());
   EXPECT_EQ(read.dependencies(), job.dependencies());
-  EXPECT_EQ(job_store::write_head(read), head);
+  EXPECT_EQ(job_store::encode_head(read), head);
 }
 
 TEST_P(upgrade_formats, final_records_are_equal) {
@@ -138,7 +138,7 @@
     job_store::job job = accepted(20);
     end_as(job, status);
     job.restore_done(0, 0);
-    const json record = job_store::write_final(job);
+    const json record = job_store::encode_final(job);
     const auto rewritten = former.rewrite_final(record.dump());
     ASSERT_TRUE(rewritten.has_value());
     EXPECT_EQ(json::parse(*rewritten), record);
