--- a/src/job_store/batch_builder.cpp
+++ b/src/job_store/batch_builder.cpp
@@ -8,182 +8,192 @@
 
 namespace {
 
-/// Where writes are scarce, placements are written at most this often.
-constexpr duration placement_spacing = milliseconds(150);
-/// A job ends in one transaction if that takes no more operations.
-constexpr std::size_t most_final_operations = 8;
-/// The head's removal and the final record.
-constexpr std::size_t head_and_final = 2;
-
-/// What a head or final record written now says of the job's end.
-std::optional<unconfirmed_end> end_as_written(const job& job) {
+/// Minimum time between two writes of placements while writes are scarce.
+constexpr duration min_placement_write_interval = milliseconds(150);
+/// Maximum number of operations with which a job is finalized in one transaction.
+constexpr std::size_t max_one_transaction_operations = 8;
+/// Number of operations for the removal of the head and the put of the final record.
+constexpr std::size_t head_and_final_operations = 2;
+
+/// Returns the terminal status that a head or final record contains if it is encoded now; nothing
+/// for an active job.
+std::optional<unconfirmed_state> unconfirmed_state_of(const job& job) {
   if (job.active()) return std::nullopt;
-  return unconfirmed_end{.status = job.status(), .tasks_done = job.done().count()};
+  return unconfirmed_state{.status = job.status(), .tasks_done = job.done().count()};
 }
 
 }  // namespace
 
 batch_builder::batch_builder(const sources& from, const write_allowance& allowance, time_point now,
-                             time_point last_placements)
-    : from_(from), allowance_(allowance), now_(now), last_placements_(last_placements) {}
+                             time_point last_placement_write)
+    : sources_(from),
+      allowance_(allowance),
+      now_(now),
+      last_placement_write_(last_placement_write) {}
 
 commit_batch batch_builder::build(kvstore::condition leader) {
-  const auto most_operations = static_cast<double>(from_.limits.operations());
-  commit_batch batch(std::move(leader), std::min(most_operations, allowance_.writes_now));
+  const auto max_operations = static_cast<double>(sources_.limits.operations());
+  commit_batch batch(std::move(leader), std::min(max_operations, allowance_.writes_now));
   add_urgent(batch);
   add_placements(batch);
-  add_progress(batch);
+  add_deferrable(batch);
   return batch;
 }
 
-/// Final states and cancellations.
+/// Adds final states and cancellations.
 void batch_builder::add_urgent(commit_batch& batch) {
-  std::vector<unit_id> deferred;
+  std::vector<unit_id> blocked_units;
   while (!batch.full()) {
-    const auto unit = from_.changes.next_urgent();
+    const auto unit = sources_.changes.pop_urgent();
     if (!unit) break;
     const add_result result = add_unit(batch, *unit, write_urgency::urgent);
-    if (result == add_result::deferred) deferred.push_back(*unit);
-    if (result != add_result::no_room) continue;
-    from_.changes.put_back_urgent(*unit);
-    urgent_left_ = true;
+    if (result == add_result::blocked) blocked_units.push_back(*unit);
+    if (result != add_result::batch_full) continue;
+    sources_.changes.requeue_urgent(*unit);
+    has_unwritten_urgent_ = true;
     break;
   }
-  for (const auto& unit : deferred) from_.changes.add_urgent(unit);
+  for (const auto& unit : blocked_units) sources_.changes.add_urgent(unit);
 }
 
-/// Where writes are scarce, placements are collected for a moment: a write for the few of each
-/// scheduling cycle would use up what final states and progress need, and workers hear of them with
-/// their heartbeats only.
+/// Adds placements. While writes are scarce, placements are collected for a short time: a write for
+/// the few placements of each scheduling cycle would use up the writes that final states and
+/// deferrable changes need. Workers don't wait for it, because they receive start commands only in
+/// the answers to their heartbeats.
 void batch_builder::add_placements(commit_batch& batch) {
   const bool scarce = batch.budget() < allowance_.writes_per_s / 2;
-  const bool too_soon = scarce && now_ - last_placements_ < placement_spacing;
-  if (!batch.affords(1) || too_soon) return;
-  const auto absorbed = [this](const placement& placement) {
-    const job* job = find_job(from_.jobs, placement.job);
+  const bool too_soon = scarce && now_ - last_placement_write_ < min_placement_write_interval;
+  if (!batch.has_budget_for(1) || too_soon) return;
+  const auto is_superseded = [this](const placement& placement) {
+    const job* job = find_job(sources_.jobs, placement.job);
     return job == nullptr || job->units()[placement.unit].stored_change >= placement.change;
   };
-  if (auto write = from_.placements.prepare(absorbed)) batch.add_log_write(std::move(*write));
+  if (auto write = sources_.placements.prepare(is_superseded))
+    batch.add_log_write(std::move(*write));
 }
 
-void batch_builder::add_progress(commit_batch& batch) {
-  // What it would take now is needed by a final state that did not fit.
-  if (urgent_left_) return;
-  while (!batch.full() && batch.affords(1)) {
-    const auto unit = from_.changes.next_progress(now_);
+void batch_builder::add_deferrable(commit_batch& batch) {
+  // The remaining budget is left for the final state or cancellation that did not fit.
+  if (has_unwritten_urgent_) return;
+  while (!batch.full() && batch.has_budget_for(1)) {
+    const auto unit = sources_.changes.pop_due_deferrable(now_);
     if (!unit) return;
     const add_result result = add_unit(batch, *unit, write_urgency::deferrable);
-    if (result == add_result::deferred) from_.changes.add_urgent(*unit);
-    if (result != add_result::no_room) continue;
-    from_.changes.put_back_progress(*unit);
+    if (result == add_result::blocked) sources_.changes.add_urgent(*unit);
+    if (result != add_result::batch_full) continue;
+    sources_.changes.requeue_deferrable(*unit);
     return;
   }
 }
 
-/// Few enough operations for a transaction, and for a moment's budget.
-bool batch_builder::ends_in_one_step(const job& job) const {
-  const std::size_t operations = job.stored_parts() + head_and_final;
-  if (operations == head_and_final) return true;
+/// Reports whether finalizing the job takes few enough operations for one transaction and for half
+/// a second of the write rate.
+bool batch_builder::can_finalize_in_one_transaction(const job& job) const {
+  const std::size_t operations = job.stored_parts() + head_and_final_operations;
+  if (operations == head_and_final_operations) return true;
   const auto affordable = static_cast<std::size_t>(allowance_.writes_per_s / 2);
-  const std::size_t most_operations = from_.limits.operations();
-  return operations <= std::min({most_final_operations, affordable, most_operations});
+  const std::size_t max_operations = sources_.limits.operations();
+  return operations <= std::min({max_one_transaction_operations, affordable, max_operations});
 }
 
 batch_builder::add_result batch_builder::add_unit(commit_batch& batch, const unit_id& unit,
                                                   write_urgency urgency) {
-  job* job = find_job(from_.jobs, unit.job);
+  job* job = find_job(sources_.jobs, unit.job);
   if (job == nullptr || !job->units()[unit.index].dirty()) return add_result::unchanged;
   if (!job->is_finalizing()) return add_update(batch, *job, unit, urgency);
-  if (unit.is_head()) return add_head_of_ended(batch, *job, urgency);
-  return add_part_of_ended(batch, *job, unit, urgency);
+  if (unit.is_head()) return add_finalizing_head(batch, *job, urgency);
+  return add_finalizing_part(batch, *job, unit, urgency);
 }
 
-/// Of a very large job the parts go first, and only once the final status is stored: a successor
-/// that finds the head without them must not take the tasks for unstarted.
-batch_builder::add_result batch_builder::add_head_of_ended(commit_batch& batch, job& job,
-                                                           write_urgency urgency) {
-  if (ends_in_one_step(job)) return add_final(batch, job, urgency);
+/// Adds the head of a job that is being finalized. If the job has too many parts for one
+/// transaction, the head with the final status is stored first, and the parts are removed after
+/// that. A successor that found the head without the parts would otherwise treat the tasks as not
+/// started.
+batch_builder::add_result batch_builder::add_finalizing_head(commit_batch& batch, job& job,
+                                                             write_urgency urgency) {
+  if (can_finalize_in_one_transaction(job)) return add_final_record(batch, job, urgency);
   if (!job.stored_terminal_state()) return add_update(batch, job, {job.spec().id, 0}, urgency);
   for (std::size_t part = 1; part < job.units().size(); ++part) {
-    if (job.units()[part].version.exists()) from_.changes.add_urgent({job.spec().id, part});
+    if (job.units()[part].version.exists()) sources_.changes.add_urgent({job.spec().id, part});
   }
-  return add_result::deferred;
+  return add_result::blocked;
 }
 
-batch_builder::add_result batch_builder::add_part_of_ended(commit_batch& batch, const job& job,
-                                                           const unit_id& unit,
-                                                           write_urgency urgency) {
-  // It goes together with the head.
-  if (ends_in_one_step(job)) return add_result::unchanged;
-  if (!job.stored_terminal_state()) return add_result::deferred;
-  if (!batch.affords(1)) return add_result::no_room;
+batch_builder::add_result batch_builder::add_finalizing_part(commit_batch& batch, const job& job,
+                                                             const unit_id& unit,
+                                                             write_urgency urgency) {
+  // The part is removed together with the head.
+  if (can_finalize_in_one_transaction(job)) return add_result::unchanged;
+  if (!job.stored_terminal_state()) return add_result::blocked;
+  if (!batch.has_budget_for(1)) return add_result::batch_full;
   const auto& state = job.units()[unit.index];
   const std::string key = unit_key(unit);
-  batch.expect(key, state.version);
+  batch.require_version(key, state.version);
   batch.remove(key);
   batch.add_unit({.unit = unit,
                   .change = state.latest_change,
                   .kind = unit_write_kind::removal,
                   .urgency = urgency,
-                  .end = std::nullopt});
+                  .written_state = std::nullopt});
   return add_result::added;
 }
 
 batch_builder::add_result batch_builder::add_update(commit_batch& batch, const job& job,
                                                     const unit_id& unit, write_urgency urgency) {
-  if (!batch.affords(1)) return add_result::no_room;
+  if (!batch.has_budget_for(1)) return add_result::batch_full;
   const add_result result = add_value(batch, job, unit);
   if (result != add_result::added) return result;
   const auto& state = job.units()[unit.index];
-  batch.expect(unit_key(unit), state.version);
-  // Only a submission makes a head. Were one written for a job that is over, it would be back.
-  if (unit.is_head() && !state.version.exists()) batch.expect_absent(final_key(unit.job));
+  batch.require_version(unit_key(unit), state.version);
+  // Only a submission creates a head. A head that was written for an ended job would bring that job
+  // back.
+  if (unit.is_head() && !state.version.exists()) batch.require_absent(final_key(unit.job));
   batch.add_unit({.unit = unit,
                   .change = state.latest_change,
                   .kind = unit_write_kind::update,
                   .urgency = urgency,
-                  .end = unit.is_head() ? end_as_written(job) : std::nullopt});
+                  .written_state = unit.is_head() ? unconfirmed_state_of(job) : std::nullopt});
   return add_result::added;
 }
 
-batch_builder::add_result batch_builder::add_final(commit_batch& batch, const job& job,
-                                                   write_urgency urgency) {
+batch_builder::add_result batch_builder::add_final_record(commit_batch& batch, const job& job,
+                                                          write_urgency urgency) {
   const job_id& id = job.spec().id;
-  if (!batch.affords(static_cast<double>(job.stored_parts() + head_and_final)))
-    return add_result::no_room;
+  if (!batch.has_budget_for(static_cast<double>(job.stored_parts() + head_and_final_operations)))
+    return add_result::batch_full;
   for (std::size_t index = 0; index < job.units().size(); ++index) {
     const auto& state = job.units()[index];
     const unit_id unit{id, index};
     if (!unit.is_head() && !state.version.exists()) continue;
-    batch.expect(unit_key(unit), state.version);
+    batch.require_version(unit_key(unit), state.version);
     batch.remove(unit_key(unit));
     batch.add_unit(
         {.unit = unit,
          .change = state.latest_change,
          .kind = unit.is_head() ? unit_write_kind::replacement_by_final : unit_write_kind::removal,
          .urgency = urgency,
-         .end = unit.is_head() ? end_as_written(job) : std::nullopt});
+         .written_state = unit.is_head() ? unconfirmed_state_of(job) : std::nullopt});
   }
-  batch.expect_absent(final_key(id));
+  batch.require_absent(final_key(id));
   batch.put(final_key(id), encode_final(job));
   return add_result::added;
 }
 
-/// A record that an earlier version wrote under wider limits may be too large to be written again.
-/// It waits until enough of its tasks have ended: their ends stay with their workers until they are
-/// stored, and its starts are in the log, so that a successor misses nothing. Its final record is
-/// always small.
+/// Adds the record of a unit if it is small enough. A record that an earlier version wrote under
+/// larger limits may be too large to be written again. It has to wait until enough of its tasks
+/// have ended. A successor loses nothing by that: workers keep the ends of tasks until they are
+/// stored, and the starts are in the placement log. The final record is always small.
 batch_builder::add_result batch_builder::add_value(commit_batch& batch, const job& job,
                                                    const unit_id& unit) {
   kvstore::json value = unit.is_head() ? encode_head(job) : encode_part(job, unit.index);
   const std::size_t bytes = value.dump().size();
-  if (bytes > from_.limits.value_bytes()) {
+  if (bytes > sources_.limits.value_bytes()) {
     spdlog::debug("record_too_large job={} unit={} bytes={}", unit.job, unit.index, bytes);
-    from_.changes.add_progress(unit, now_);
+    sources_.changes.add_deferrable(unit, now_);
     if (unit.is_head()) oversized_heads_.push_back(unit.job);
     return add_result::too_large;
   }
-  if (!batch.fits(bytes)) return add_result::no_room;
+  if (!batch.fits(bytes)) return add_result::batch_full;
   batch.put_record(unit_key(unit), std::move(value), bytes);
   return add_result::added;
 }
--- a/src/job_store/commit_batch.hpp
+++ b/src/job_store/commit_batch.hpp
@@ -16,53 +16,56 @@
 
 namespace gingerdrift::job_store {
 
-/// How a job ended, as a record says it that is being written. Only the acknowledgement of the
-/// write makes a terminal_state of it.
-struct unconfirmed_end {
+/// Terminal status of a job in a record whose write is not acknowledged yet. It becomes a
+/// terminal_state only when the state service acknowledges the write.
+struct unconfirmed_state {
   job_status status = job_status::active;
   std::uint32_t tasks_done = 0;
 };
 
-/// What a transaction does with a unit's key.
+/// Kind of change that a transaction makes to a unit's key.
 enum class unit_write_kind : std::uint8_t {
   update,
-  removal,               // of a part whose job is over
-  replacement_by_final,  // of a head, by the final record
+  removal,               // deletes a part of an ended job
+  replacement_by_final,  // deletes a head and writes the job's final record instead
 };
 
-/// A unit as one transaction writes it.
+/// Write of one unit in a transaction.
 struct unit_write {
   unit_id unit;
-  std::uint64_t change = 0;  // the newest of the unit's that the write contains
+  std::uint64_t change = 0;  // number of the newest change of the unit that the write contains
   unit_write_kind kind = unit_write_kind::update;
   write_urgency urgency = write_urgency::urgent;
-  std::optional<unconfirmed_end> end;  // what the record says of the job's end
+  /// Terminal status in the written record, if it has one.
+  std::optional<unconfirmed_state> written_state;
 };
 
-/// A transaction that is being put together, within a budget of operations.
+/// A transaction under construction, limited by a budget of operations.
 class commit_batch {
  public:
-  /// Carried out only while that key, the leader's, has its version.
+  /// `leader`: condition on the leader key; the transaction fails if the key's version has changed.
   commit_batch(kvstore::condition leader, double operation_budget) : budget_(operation_budget) {
     conditions_.push_back(std::move(leader));
   }
 
   double budget() const { return budget_; }
-  bool affords(double operations) const { return budget_ >= operations; }
-  /// Whether its values have reached the size that is planned for.
-  bool full() const { return bytes_ >= planned_bytes; }
-  /// Whether a value of that size still fits; the first one always does.
-  bool fits(std::size_t bytes) const { return bytes_ == 0 || bytes_ + bytes <= planned_bytes; }
+  bool has_budget_for(double operations) const { return budget_ >= operations; }
+  /// Reports whether the records have reached the planned total size.
+  bool full() const { return bytes_ >= planned_record_bytes; }
+  /// Reports whether a value of `bytes` still fits. The first value always fits.
+  bool fits(std::size_t bytes) const {
+    return bytes_ == 0 || bytes_ + bytes <= planned_record_bytes;
+  }
 
-  void expect(std::string key, store_revision version) {
+  void require_version(std::string key, store_revision version) {
     conditions_.push_back({std::move(key), version});
   }
-  void expect_absent(std::string key) { expect(std::move(key), {}); }
+  void require_absent(std::string key) { require_version(std::move(key), {}); }
   void remove(std::string key) { add(kvstore::operation::remove(std::move(key))); }
   void put(std::string key, kvstore::json value) {
     add(kvstore::operation::put(std::move(key), std::move(value)));
   }
-  /// A put of a record whose size counts.
+  /// Adds a put of a record that counts towards the planned total size.
   void put_record(std::string key, kvstore::json value, std::size_t bytes) {
     bytes_ += bytes;
     largest_value_bytes_ = std::max(largest_value_bytes_, bytes);
@@ -83,8 +86,9 @@
   const std::vector<unit_write>& units() const { return units_; }
 
  private:
-  /// Of the 64 KiB of a transaction, what records take; a value of the placement log comes on top.
-  static constexpr std::size_t planned_bytes = std::size_t{28} << 10;
+  /// Planned total size of the records in a transaction. The limit for a transaction is 64 KiB; a
+  /// value of the placement log comes in addition.
+  static constexpr std::size_t planned_record_bytes = std::size_t{28} << 10;
 
   void add(kvstore::operation operation) {
     operations_.push_back(std::move(operation));
--- a/src/job_store/completion_waiters.hpp
+++ b/src/job_store/completion_waiters.hpp
@@ -11,8 +11,10 @@
 
 namespace gingerdrift::job_store {
 
-/// Users who asked to cancel a job and wait until its end is stored. Each is answered once: with
-/// the end, or with nothing where it can't be said, as when this object goes.
+/// Callbacks of users who cancelled a job and wait until its terminal state is stored.
+///
+/// Each callback is called exactly once: with the terminal state, or with nothing if it can't be
+/// determined, for example when this object is destroyed.
 class completion_waiters {
  public:
   using terminal_fn = std::function<void(std::optional<terminal_state>)>;
@@ -29,11 +31,12 @@
   void add(const job_id& job, terminal_fn callback) {
     waiting_[job].push_back(std::move(callback));
   }
-  /// Answers all who wait for the job.
-  void answer(const job_id& job, const std::optional<terminal_state>& end) {
+  /// Removes and calls all callbacks for the job.
+  void notify(const job_id& job, const std::optional<terminal_state>& end) {
     const auto waiting = waiting_.find(job);
     if (waiting == waiting_.end()) return;
-    // Out of the map first: a callback may add another.
+    // The callbacks are removed from the map before they are called because a callback may add
+    // another one.
     const auto callbacks = std::move(waiting->second);
     waiting_.erase(waiting);
     for (const auto& callback : callbacks) callback(end);
--- a/src/job_store/group_commit.cpp
+++ b/src/job_store/group_commit.cpp
@@ -8,12 +8,13 @@
 namespace gingerdrift::job_store {
 
 namespace {
-/// Changes of a moment go into the same transaction.
+/// Time for which changes are collected for the same transaction.
 constexpr duration group_delay = milliseconds(4);
-/// Before the next try after a failure, or while the lease or the budget is missing.
+/// Delay before the next attempt after a failure, or while there is no valid lease or no write
+/// budget.
 constexpr duration retry_delay = milliseconds(150);
-/// How often it is seen whether progress has waited long enough.
-constexpr duration progress_check_interval = change_queue::progress_delay / 4;
+/// Interval at which the queue is checked for deferrable changes that have waited long enough.
+constexpr duration deferrable_check_interval = change_queue::deferrable_delay / 4;
 }  // namespace
 
 group_commit::group_commit(net::runtime& runtime, kvstore::client& store, kvstore::condition leader,
@@ -30,9 +31,12 @@
                  {.may_read = [this] { return observer_.may_write(); },
                   .version_read = [this](const std::string& key,
                                          store_revision version) { set_version(key, version); },
-                  .end_read = [this](const job_id& id,
-                                     const terminal_state& end) { observer_.end_found(id, end); },
-                  .unreadable = [this](const job_id& id) { observer_.end_unreadable(id); },
+                  .final_state_read =
+                      [this](const job_id& id, const terminal_state& end) {
+                        observer_.final_state_found(id, end);
+                      },
+                  .final_record_malformed =
+                      [this](const job_id& id) { observer_.final_record_malformed(id); },
                   .finished =
                       [this] {
                         busy_ = false;
@@ -45,8 +49,8 @@
     changes_.add_urgent(unit);
     schedule(group_delay);
   } else {
-    changes_.add_progress(unit, runtime_.now());
-    schedule(change_queue::progress_delay);
+    changes_.add_deferrable(unit, runtime_.now());
+    schedule(change_queue::deferrable_delay);
   }
 }
 
@@ -65,8 +69,8 @@
 
 void group_commit::flush() {
   if (busy_) return;
-  if (!changes_.due(runtime_.now()) && !placements_.has_pending()) {
-    if (!changes_.empty()) schedule(progress_check_interval);
+  if (!changes_.has_due_changes(runtime_.now()) && !placements_.has_pending()) {
+    if (!changes_.empty()) schedule(deferrable_check_interval);
     return;
   }
   if (!observer_.may_write()) return schedule(retry_delay);
@@ -81,42 +85,43 @@
   const time_point now = runtime_.now();
   batch_builder builder(
       {.jobs = jobs_, .changes = changes_, .placements = placements_, .limits = limits_}, allowance,
-      now, last_placements_);
+      now, last_placement_write_);
   commit_batch batch = builder.build(leader_);
-  if (batch.has_placements()) last_placements_ = now;
+  if (batch.has_placements()) last_placement_write_ = now;
   for (const auto& id : builder.oversized_heads()) observer_.head_too_large(id);
   return batch;
 }
 
 void group_commit::send(commit_batch batch) {
   busy_ = true;
-  note_end_writes(batch.units());
+  mark_end_writes_sent(batch.units());
   const auto conditions = batch.conditions();
   const auto operations = batch.operations();
   store_.txn(conditions, operations,
              guard_.wrap([this, batch = std::move(batch)](const kvstore::result& answer) {
-               answered(batch, answer);
+               handle_result(batch, answer);
              }));
 }
 
-void group_commit::answered(const commit_batch& batch, const kvstore::result& answer) {
+void group_commit::handle_result(const commit_batch& batch, const kvstore::result& answer) {
   busy_ = false;
-  if (!answer.ok()) return rejected(batch, answer);
+  if (!answer.ok()) return handle_failure(batch, answer);
   const commit_outcome outcome = acknowledge(batch, answer.revision);
   const auto self = guard_.observe();
   observer_.committed(outcome);
   if (self.alive()) schedule(group_delay);
 }
 
-/// From here on the ends it carries may be read, and told, by others before they are acknowledged.
-void group_commit::note_end_writes(const std::vector<unit_write>& units) {
+/// Records the terminal states that a transaction contains. Once it is sent, other controllers may
+/// read and report them before they are acknowledged here.
+void group_commit::mark_end_writes_sent(const std::vector<unit_write>& units) {
   for (const auto& write : units) {
     job* job = find_job(jobs_, write.unit.job);
-    if (job == nullptr || !write.end) continue;
+    if (job == nullptr || !write.written_state) continue;
     const auto sent = write.kind == unit_write_kind::replacement_by_final
                           ? end_write::final_record_sent
                           : end_write::status_sent;
-    job->note_end_write(sent);
+    job->mark_end_write_sent(sent);
   }
 }
 
@@ -130,7 +135,7 @@
 
 void group_commit::acknowledge_placement(const placement& placement, commit_outcome& outcome) {
   job* job = find_job(jobs_, placement.job);
-  if (job == nullptr || !job->mark_logged(placement.task, placement.change)) return;
+  if (job == nullptr || !job->mark_in_placement_log(placement.task, placement.change)) return;
   outcome.changed.insert(placement.job);
 }
 
@@ -141,22 +146,25 @@
   const std::size_t unit = write.unit.index;
   job->set_version(unit, write.kind == unit_write_kind::update ? revision : store_revision());
   job->mark_stored(unit, write.change);
-  // What was written says it, not the status by now: an earlier change of the head may have been
-  // under way when the job ended. A user was once told `done` by that, and `running` by a
-  // successor.
-  if (write.end) job->mark_end_stored(terminal_state(write.end->status, write.end->tasks_done));
+  // The terminal state is taken from the written record, not from the job's current status, because
+  // an earlier change of the head may have been in flight when the job ended. The current status
+  // once led to `done` being reported to a user, and `running` by a successor afterwards.
+  if (write.written_state)
+    job->mark_end_stored(
+        terminal_state(write.written_state->status, write.written_state->tasks_done));
   const bool finished = write.kind == unit_write_kind::replacement_by_final;
-  // A large job's head was stored with the final status; its removal comes after its parts'.
+  // The head of a large job was stored with the final status. Its removal follows that of its
+  // parts.
   if (write.unit.is_head() && job->is_finalizing() && !finished) {
-    job->note_change(unit);
+    job->mark_changed(unit);
     queue(write.unit, write_urgency::urgent);
   }
   if (finished)
-    outcome.finished.push_back({.id = write.unit.job, .end = *job->stored_terminal_state()});
+    outcome.finished.push_back({.id = write.unit.job, .state = *job->stored_terminal_state()});
   outcome.changed.insert(write.unit.job);
 }
 
-void group_commit::rejected(const commit_batch& batch, const kvstore::result& answer) {
+void group_commit::handle_failure(const commit_batch& batch, const kvstore::result& answer) {
   requeue(batch.units());
   placements_.requeue();
   if (answer.conflict()) return resolve_conflict(answer.failed);
@@ -164,13 +172,13 @@
   schedule(retry_delay);
 }
 
-/// What could not be written goes first the next time.
+/// Puts the units of a failed transaction back at the front of the queue.
 void group_commit::requeue(const std::vector<unit_write>& units) {
   for (const auto& write : units) {
     if (write.urgency == write_urgency::urgent) {
-      changes_.put_back_urgent(write.unit);
+      changes_.requeue_urgent(write.unit);
     } else {
-      changes_.put_back_progress(write.unit);
+      changes_.requeue_deferrable(write.unit);
     }
   }
 }
@@ -199,8 +207,9 @@
   if (job != nullptr && unit->index < job->units().size()) job->set_version(unit->index, version);
 }
 
-/// Placements that were logged, and whose jobs' records had not caught up when their leader ended.
-/// In the order they were made: a later attempt of a task means that the earlier was proven gone.
+/// Restores placements that were logged but not yet in the records of their jobs when the term of
+/// the earlier leader ended. They are applied in the order in which they were made, because a later
+/// attempt at a task implies that the earlier one was proven gone.
 void group_commit::load_placements(const std::vector<kvstore::entry>& log_entries) {
   std::vector<placement> placements;
   for (const auto& entry : log_entries) {
@@ -226,9 +235,9 @@
   attempt.number = placement.number;
   attempt.machine = placement.machine;
   attempt.incarnation = placement.incarnation;
-  attempt.phase = attempt_phase::sent;  // an earlier leader may have sent it
+  attempt.phase = attempt_phase::sent;  // an earlier leader may have sent the start command
   attempt.change = placement.change;
-  attempt.logged = true;
+  attempt.in_placement_log = true;
   job->restore_logged_attempt(placement.task, attempt);
   queue({placement.job, placement.unit}, write_urgency::deferrable);
 }
--- a/src/job_store/group_commit.hpp
+++ b/src/job_store/group_commit.hpp
@@ -18,56 +18,64 @@
 
 namespace gingerdrift::job_store {
 
-/// A job whose final record is stored.
+/// A job whose final record is stored, with its terminal state.
 struct finished_job {
   job_id id;
-  terminal_state end;
+  terminal_state state;
 };
 
-/// What a transaction that was carried out has stored.
+/// What a successful transaction has stored.
 struct commit_outcome {
-  std::set<job_id> changed;  // jobs some of whose changes it holds
+  std::set<job_id> changed;  // jobs that have changes in the transaction
   std::vector<finished_job> finished;
 };
 
-/// What a group commit asks and tells the owner of the jobs. Each call may destroy both.
+/// The owner of the jobs as group_commit uses it. Each call may destroy the observer and the
+/// group_commit.
 class commit_observer {
  public:
   virtual ~commit_observer() = default;
-  /// Whether the leader's lease is valid. Without it nothing is written: another leader may be at
-  /// work.
+  /// Reports whether the leader's lease is valid. Without a valid lease nothing is written, because
+  /// another leader may be active.
   virtual bool may_write() = 0;
+  /// Called after a transaction succeeded.
   virtual void committed(const commit_outcome& outcome) = 0;
-  /// The job's head can't be written before more of its tasks have ended.
+  /// Called when the job's head record is too large to be written until more of its tasks have
+  /// ended.
   virtual void head_too_large(const job_id& id) = 0;
-  /// The leader key is another's.
+  /// Called when the leader key has changed: another controller has become the leader.
   virtual void leadership_lost() = 0;
-  /// A final record was found, whoever wrote it.
-  virtual void end_found(const job_id& id, const terminal_state& end) = 0;
-  /// A final record was found that is malformed.
-  virtual void end_unreadable(const job_id& id) = 0;
+  /// Called when a job's final record was found, regardless of which leader wrote it.
+  virtual void final_state_found(const job_id& id, const terminal_state& end) = 0;
+  /// Called when a job's final record was found and is malformed.
+  virtual void final_record_malformed(const job_id& id) = 0;
 };
 
-/// Writes the changes of the leader's jobs in transactions that hold many of them, one at a time.
+/// Writes the changes of the leader's jobs in transactions that combine many changes. At most one
+/// transaction is in flight.
 ///
-/// Each is conditional on the leader key and on every written key's version: one that was given up
-/// on can't undo a newer one by being applied late. After a conflict the keys' versions are read
-/// before anything else is written.
+/// Each transaction is conditional on the leader key and on the version of every key that it
+/// writes. A transaction that got no answer and is applied late can therefore not overwrite a newer
+/// one. After a conflict the versions of the conflicting keys are read before anything else is
+/// written.
 class group_commit {
  public:
-  /// `sizes`: the largest values and transactions it writes. `jobs` and `observer` outlive it.
+  /// `leader`: condition on the leader key with this term's version. `sizes`: size limits of values
+  /// and transactions. `jobs` and `observer` must outlive this object.
   group_commit(net::runtime& runtime, kvstore::client& store, kvstore::condition leader,
                const kvstore::service_limits& sizes, job_map& jobs, commit_observer& observer);
   group_commit(const group_commit&) = delete;
   group_commit& operator=(const group_commit&) = delete;
 
-  /// A unit of a job has changed.
+  /// Queues a changed unit of a job for writing.
   void queue(const unit_id& unit, write_urgency urgency);
-  /// An attempt was placed: the log stores it at once, its record follows.
+  /// Adds a placement to the placement log, which is written without delay; the job's own record
+  /// follows later.
   void add_placement(placement placement);
-  /// Takes over the placement log as an earlier leader left it, after all records were read.
+  /// Restores placements from the placement log of an earlier leader. Must be called after all job
+  /// records were read.
   void load_placements(const std::vector<kvstore::entry>& log_entries);
-  /// Units that wait to be written.
+  /// Number of units that wait to be written.
   std::size_t backlog() const { return changes_.size(); }
 
  private:
@@ -75,14 +83,14 @@
   void flush();
   commit_batch build_batch();
   void send(commit_batch batch);
-  void answered(const commit_batch& batch, const kvstore::result& answer);
-  void note_end_writes(const std::vector<unit_write>& units);
+  void handle_result(const commit_batch& batch, const kvstore::result& answer);
+  void mark_end_writes_sent(const std::vector<unit_write>& units);
 
   commit_outcome acknowledge(const commit_batch& batch, store_revision revision);
   void acknowledge_placement(const placement& placement, commit_outcome& outcome);
   void acknowledge_unit(const unit_write& write, store_revision revision, commit_outcome& outcome);
 
-  void rejected(const commit_batch& batch, const kvstore::result& answer);
+  void handle_failure(const commit_batch& batch, const kvstore::result& answer);
   void requeue(const std::vector<unit_write>& units);
   void resolve_conflict(const std::vector<std::string>& keys);
   void reduce_limits(const commit_batch& batch);
@@ -99,10 +107,10 @@
   placement_log placements_;
   change_queue changes_;
   conflict_reader conflicts_;
-  bool busy_ = false;             // a transaction, or the reading after a conflict, is under way
-  time_point last_placements_{};  // when placements were last written
+  bool busy_ = false;  // a transaction or the reading after a conflict is in progress
+  time_point last_placement_write_{};  // time of the latest transaction with placements
   net::timer flush_timer_;
-  time_point flush_at_{};  // while the timer is armed
+  time_point flush_at_{};  // due time of the timer; valid while it is armed
   callback_guard guard_;
 };
 
--- a/src/job_store/job.cpp
+++ b/src/job_store/job.cpp
@@ -5,9 +5,9 @@
 
 namespace gingerdrift::job_store {
 
-job::job(job_spec spec, std::int64_t created_ms, std::uint32_t unit_tasks)
-    : spec_(std::move(spec)), created_ms_(created_ms), unit_tasks_(unit_tasks) {
-  const std::size_t parts = large() ? (spec_.tasks + unit_tasks_ - 1) / unit_tasks_ : 0;
+job::job(job_spec spec, std::int64_t created_ms, std::uint32_t tasks_per_unit)
+    : spec_(std::move(spec)), created_ms_(created_ms), tasks_per_unit_(tasks_per_unit) {
+  const std::size_t parts = large() ? (spec_.tasks + tasks_per_unit_ - 1) / tasks_per_unit_ : 0;
   units_.resize(1 + parts);
 }
 
@@ -126,19 +126,19 @@
   invalidate_view();
 }
 
-void job::note_change(std::size_t unit) {
+void job::mark_changed(std::size_t unit) {
   invalidate_view();
   ++units_[unit].latest_change;
 }
 
-void job::tie_attempt_to_latest_change(std::uint32_t task) {
+void job::link_attempt_to_latest_change(std::uint32_t task) {
   attempts_.at(task).change = units_[unit_of(task)].latest_change;
 }
 
-bool job::mark_logged(std::uint32_t task, std::uint64_t change) {
+bool job::mark_in_placement_log(std::uint32_t task, std::uint64_t change) {
   const auto placed = attempts_.find(task);
   if (placed == attempts_.end() || placed->second.change != change) return false;
-  placed->second.logged = true;
+  placed->second.in_placement_log = true;
   return true;
 }
 
--- a/src/job_store/job.hpp
+++ b/src/job_store/job.hpp
@@ -21,234 +21,251 @@
 
 namespace gingerdrift::job_store {
 
-/// How far an attempt is, as its worker's heartbeats show.
+/// Phase of an attempt, as reported in the heartbeats of its worker.
 enum class attempt_phase : std::uint8_t {
-  placed,    // stored or about to be; its start has not been sent
-  sent,      // its start was sent, and may or may not have arrived
-  fetching,  // the machine fetches its image
-  waiting,   // a gang's member that waits for the others
+  placed,    // stored or about to be stored; the start command has not been sent
+  sent,      // the start command was sent; whether it arrived is unknown
+  fetching,  // the machine downloads the task's image
+  waiting,   // a gang member that waits for the other members
   running,
-  saving,  // it was told to stop and saves its work
+  saving,  // the task was told to stop and saves its work
   exited
 };
 
-/// An attempt at a task on a machine. The first three fields are stored before its start is sent.
+/// An attempt to run a task on a machine. The first three fields are stored before the start
+/// command is sent.
 struct attempt {
   attempt_number number;
   machine_name machine;
   worker_incarnation incarnation;
-  // Only in the leader's memory:
+  // The remaining fields exist only in the leader's memory.
   attempt_phase phase = attempt_phase::placed;
-  std::uint64_t change = 0;         // stored once its unit has reached this change
-  bool logged = false;              // the placement log has it
-  bool adopted = false;             // found in the store by this term's leader
-  bool reported_by_worker = false;  // listed by its worker at least once
-  std::uint64_t sent_in_reply_to =
-      0;  // sequence number of the heartbeat whose answer carried its start
-  bool stopping = false;
-  duration grace{};  // to save its work; counts while it is stopping
+  std::uint64_t change = 0;         // the attempt is stored once this change of its unit is
+  bool in_placement_log = false;    // the attempt is stored in the placement log
+  bool adopted = false;             // the attempt was read from the store by this term's leader
+  bool reported_by_worker = false;  // its worker has listed the attempt in a heartbeat
+  /// Sequence number of the heartbeat whose answer carried the start command; 0 if none did.
+  std::uint64_t sent_in_reply_to = 0;
+  bool stopping = false;  // the task was told to stop
+  duration grace{};       // time to save its work; valid while `stopping`
   time_point running_since{};
 };
 
-/// A piece of a job that is written as one key: the head, or a part holding a range of tasks.
+/// State of one key of a job's record: the head, or a part that holds a range of tasks.
 struct record_unit {
-  store_revision version;           // the key's, as far as this leader has read or written it
-  std::uint64_t latest_change = 1;  // counts changes; stored too, so that the count goes on
-  std::uint64_t stored_change = 0;  // the newest change that is stored
-  attempt_number next_attempt{1};
+  store_revision version;  // version of the key, as last read or written by this leader
+  /// Number of the newest change. It is stored, so that a successor continues the count.
+  std::uint64_t latest_change = 1;
+  std::uint64_t stored_change = 0;  // number of the newest change that is stored
+  attempt_number next_attempt{1};   // lowest number for the unit's next attempt
 
   bool dirty() const { return stored_change < latest_change; }
 };
 
-/// How far the writes that end a job have been sent. One that was sent may be carried out at any
-/// moment, whether it is answered or not; so this never goes back.
+/// The furthest of the writes that end a job which has been sent. A write that was sent may be
+/// applied at any time, whether or not it is answered, so this value never decreases.
 enum class end_write : std::uint8_t {
   none,
-  status_sent,        // a head with the final status
-  final_record_sent,  // the final record
+  status_sent,        // a head record with the final status was sent
+  final_record_sent,  // the final record was sent
 };
 
-/// How failures of a job's tasks delay its next attempts.
+/// Rules for delaying the next attempts of a job after failures of its tasks.
 struct failure_policy {
-  /// Failures on so many different machines are the job's own.
+  /// Failures on this many different machines are attributed to the job, not to the machines.
   std::size_t distinct_machines = 3;
-  /// Pause after a failure that may be the machine's.
+  /// Pause after a failure that may be caused by the machine.
   duration pause = milliseconds(500);
-  /// Back-off of a job that fails everywhere; it doubles each round.
+  /// Back-off after failures that are attributed to the job. It doubles with each round, at most
+  /// `doubling_limit` times and up to `backoff_limit`.
   duration first_backoff{};
   duration backoff_limit{};
   std::uint32_t doubling_limit = 0;
 };
 
-/// Whose failure it seems to be when a task has failed.
+/// Presumed cause of a task's failure.
 enum class failure_verdict : std::uint8_t { undecided, job_at_fault };
 
-/// A job as the leader holds it. Jobs of up to `unit_tasks` tasks are one key; larger ones spill
-/// their attempts and finished ranges into part keys, which keeps every value small.
+/// A job in the leader's memory. A job of up to `tasks_per_unit` tasks is stored under one key. A
+/// larger job stores its attempts and finished tasks in part records under keys of their own, which
+/// keeps every value small.
 ///
-/// It is read through accessors and changes by its operations alone. Changes of stored fields have
-/// to be marked in the job table, which writes them.
+/// Its state is read through accessors and changed only through the operations below. The caller
+/// must mark changes of stored state in the job table, which writes them.
 class job {
  public:
-  /// Tasks that a key holds at least.
-  static constexpr std::uint32_t least_unit = 16;
+  /// Minimum number of tasks per unit.
+  static constexpr std::uint32_t min_tasks_per_unit = 16;
 
-  /// `created_ms`: since 1970. `unit_tasks`: tasks that a key holds, which never changes: it is
-  /// stored, for what is planned for new jobs follows the settings.
-  job(job_spec spec, std::int64_t created_ms, std::uint32_t unit_tasks = least_unit);
+  /// `created_ms`: milliseconds since 1970. `tasks_per_unit`: number of tasks that a unit holds. It
+  /// is stored with the job and never changes, because the number that is planned for new jobs
+  /// depends on the settings.
+  job(job_spec spec, std::int64_t created_ms, std::uint32_t tasks_per_unit = min_tasks_per_unit);
 
-  // What it is:
+  // Description and status:
 
   const job_spec& spec() const { return spec_; }
   std::int64_t created_ms() const { return created_ms_; }
-  /// When the last of its dependencies was done, in ms since 1970; 0: it had none.
+  /// Time at which the last dependency was done, in ms since 1970; 0 if the job never had to wait
+  /// or still waits for dependencies.
   std::int64_t ready_ms() const { return ready_ms_; }
-  /// Its age counts from here, in ms since 1970.
+  /// Time from which the job's age is counted, in ms since 1970.
   std::int64_t queued_ms() const { return ready_ms_ != 0 ? ready_ms_ : created_ms_; }
-  /// Some dependency isn't stored as done, as far as is known: nothing of it may be scheduled.
+  /// Reports whether the job waits because some dependency is not known to be stored as done. No
+  /// task of a waiting job may be scheduled.
   bool waiting() const { return waiting_; }
-  /// What it waits for; empty unless it waits.
+  /// Dependencies that the job waits for; only meaningful while `waiting()`.
   const std::vector<job_id>& dependencies() const { return dependencies_; }
-  /// Dependencies that are still to be read from keys of their own.
+  /// Keys of their own that hold further dependencies, which are still to be read.
   const dependency_parts& more_dependencies() const { return more_dependencies_; }
   job_status status() const { return status_; }
   bool active() const { return status_ == job_status::active; }
-  /// By task.
+  /// Current attempts by task index.
   const std::map<std::uint32_t, attempt>& attempts() const { return attempts_; }
+  /// Indexes of the finished tasks.
   const range_set& done() const { return done_; }
   bool all_tasks_done() const { return done_.count() == spec_.tasks; }
-  /// Over, and nothing of it can still run: its final record may be written.
+  /// Reports whether the job has ended and no task of it can still run, so that its final record
+  /// may be written.
   bool ready_to_finalize() const { return !active() && attempts_.empty(); }
-  /// How it ended, once that is stored.
+  /// Terminal state of the job; nothing until it is stored.
   const std::optional<terminal_state>& stored_terminal_state() const {
     return stored_terminal_state_;
   }
   end_write end_write_sent() const { return end_write_sent_; }
-  /// Only its final record remains to be written.
+  /// Reports whether only the final record remains to be written.
   bool is_finalizing() const { return is_finalizing_; }
-  /// What a scheduling cycle sees of it; empty once anything it shows has changed.
+  /// Cached view of the job for scheduling cycles; null once anything shown in the view has
+  /// changed.
   const std::shared_ptr<const admission::job_view>& view() const { return view_; }
 
-  // Failures of its tasks:
+  // Task failures:
 
-  /// Counts by machine.
+  /// Number of failures by machine.
   const std::map<machine_name, std::uint32_t>& failures_by_machine() const {
     return failures_by_machine_;
   }
   time_point last_failure_time() const { return last_failure_time_; }
-  /// How often it failed everywhere since its last success.
+  /// How often failures were attributed to the job since its last success.
   std::uint32_t backoff_rounds() const { return backoff_rounds_; }
-  /// Nothing of it is placed earlier.
+  /// Earliest time at which tasks of the job may be placed.
   time_point not_before() const { return not_before_; }
-  /// Some member of the gang's attempt under way was seen running.
+  /// Reports whether some member of the gang's current attempt was reported as running.
   bool gang_started() const { return gang_started_; }
 
-  // The keys that hold it:
+  // Record units:
 
-  std::uint32_t unit_tasks() const { return unit_tasks_; }
-  bool large() const { return spec_.tasks > unit_tasks_; }
-  /// The unit that holds a task.
-  std::size_t unit_of(std::uint32_t task) const { return large() ? 1 + task / unit_tasks_ : 0; }
-  /// The head, and the parts of a large job.
+  /// Number of tasks that a unit holds.
+  std::uint32_t tasks_per_unit() const { return tasks_per_unit_; }
+  /// Reports whether the job has part records.
+  bool large() const { return spec_.tasks > tasks_per_unit_; }
+  /// Index of the unit that holds a task.
+  std::size_t unit_of(std::uint32_t task) const { return large() ? 1 + task / tasks_per_unit_ : 0; }
+  /// The head, followed by the parts of a large job.
   const std::vector<record_unit>& units() const { return units_; }
   const record_unit& head() const { return units_[0]; }
-  /// An attempt may only be sent once it is stored: a successor must know of it.
+  /// Reports whether an attempt is stored. The start command may be sent only after that, because a
+  /// successor must be able to read the attempt from the store.
   bool attempt_stored(std::uint32_t task, const attempt& attempt) const {
-    return attempt.logged || units_[unit_of(task)].stored_change >= attempt.change;
+    return attempt.in_placement_log || units_[unit_of(task)].stored_change >= attempt.change;
   }
-  /// Parts that are stored, as far as this leader has read or written them.
+  /// Number of parts that exist in the store, as last read or written by this leader.
   std::size_t stored_parts() const;
 
-  // Changes of its state:
+  // State changes:
 
-  /// A scheduling cycle has to see the job anew.
+  /// Discards the cached view, so that the next scheduling cycle builds a new one.
   void invalidate_view() { view_.reset(); }
-  /// Scheduling cycles see that until it is invalidated.
+  /// Caches the view for scheduling cycles until it is invalidated.
   void cache_view(std::shared_ptr<const admission::job_view> view) { view_ = std::move(view); }
   void cancel() { status_ = job_status::cancelled; }
-  /// Becomes done if all tasks of an active job are; returns whether it did.
+  /// Sets the status of an active job to done if all of its tasks are done. Returns whether it did.
   bool complete_if_all_tasks_done();
 
-  /// Waits from now on for those jobs, and for the ones of a list in keys of its own.
+  /// Makes the job wait for the jobs in `names` and for those listed under the keys of `more`.
   void wait_for(std::vector<job_id> names, dependency_parts more = {});
-  /// Some of the list that was stored in keys of its own was read.
+  /// Adds dependencies that were read from one of the keys of `more_dependencies()`.
   void append_dependencies(const std::vector<job_id>& names);
-  /// All of its dependencies are stored as done.
+  /// Ends the wait because all dependencies are stored as done. `now_ms`: since 1970.
   void become_ready(std::int64_t now_ms);
-  /// It is cancelled, and waits for nothing any more.
+  /// Ends the wait because the job is cancelled.
   void stop_waiting() { waiting_ = false; }
-  /// Its head names no list in keys of its own any more; returns that list.
+  /// Removes the reference to the dependency keys from the head record and returns it.
   dependency_parts release_dependency_parts();
 
   // Attempts:
 
-  /// The number for a new attempt at a task. No attempt is numbered like an earlier one, except
-  /// that the members of a gang share theirs, and so does one that replaces a member.
+  /// Returns the number for a new attempt at a task. Numbers are never reused, except that all
+  /// members of a gang's attempt, including those that replace a member, share one number.
   attempt_number allocate_attempt_number(std::uint32_t task);
-  /// A new attempt, which is not stored yet.
+  /// Adds a new attempt, which is not stored yet.
   void place_attempt(std::uint32_t task, attempt_number number, const machine_name& machine,
                      worker_incarnation incarnation);
-  /// The attempt has exited, or is proven gone.
+  /// Removes an attempt that has exited or is proven to be gone.
   void remove_attempt(std::uint32_t task) { attempts_.erase(task); }
-  /// Attempts that were read from the store belong to this term's leader from now on.
+  /// Marks all attempts as read from the store by this term's leader.
   void adopt_attempts();
-  /// Its start goes out with the answer to the heartbeat with that sequence number.
+  /// Records that the start command is sent in the answer to the heartbeat with the sequence number
+  /// `heartbeat`.
   void mark_sent(std::uint32_t task, std::uint64_t heartbeat);
-  /// Its worker lists it in that phase.
+  /// Sets the phase in which the worker lists the attempt.
   void update_phase(std::uint32_t task, attempt_phase phase, time_point now);
+  /// Records that the attempt was told to stop, with `grace` to save its work.
   void mark_stopping(std::uint32_t task, duration grace);
-  /// A member has waited in vain for the rest of its gang; returns how many have in this attempt.
+  /// Counts a gang member that timed out waiting for the other members. Returns the number of such
+  /// timeouts in the current attempt.
   std::uint32_t count_gang_wait_timeout() { return ++gang_wait_timeouts_; }
-  /// Nothing of the gang's attempt is left: the next one has a number of its own.
+  /// Ends the gang's attempt once all of its members are gone. The next attempt gets a new number.
   void reset_gang_attempt();
-  /// The task succeeded, and with it all tasks of a gang. Its failures are forgotten.
+  /// Records that a task succeeded, which completes all tasks of a gang. Clears the job's failures.
   void finish_task(std::uint32_t task);
 
   // Failures:
 
-  /// A task failed on that machine. Sets the job's back-off.
+  /// Records that a task failed on `machine`, and sets the job's back-off.
   failure_verdict record_failure(const machine_name& machine, time_point now,
                                  const failure_policy& policy);
-  /// The machines it failed on may be tried again.
+  /// Clears the failure counts, so that the job may run on the machines again.
   void clear_failures();
-  /// Nothing of it is placed until then.
+  /// Prevents placements of the job until `when`.
   void back_off_until(time_point when) { not_before_ = when; }
 
-  // Writing it:
+  // Writing to the store:
 
-  /// Counts a change of a unit.
-  void note_change(std::size_t unit);
-  /// The attempt is stored once the latest change of its unit is.
-  void tie_attempt_to_latest_change(std::uint32_t task);
-  /// The placement log holds the attempt that came with that change of its unit. Returns false if
-  /// another one, or none, is there by now.
-  bool mark_logged(std::uint32_t task, std::uint64_t change);
-  /// The key of a unit has this version.
+  /// Marks a unit as changed, which increments its change number.
+  void mark_changed(std::size_t unit);
+  /// Links an attempt to the latest change of its unit: it is stored once that change is stored.
+  void link_attempt_to_latest_change(std::uint32_t task);
+  /// Records that the placement log contains the attempt that was placed with that change of its
+  /// unit. Returns false if the task now has another attempt, or none.
+  bool mark_in_placement_log(std::uint32_t task, std::uint64_t change);
+  /// Sets the version of a unit's key.
   void set_version(std::size_t unit, store_revision version) { units_[unit].version = version; }
-  /// The store holds all changes of a unit up to that one.
+  /// Records that the store has all changes of a unit up to `change`.
   void mark_stored(std::size_t unit, std::uint64_t change);
-  /// A write that ends the job was sent.
-  void note_end_write(end_write sent) { end_write_sent_ = std::max(end_write_sent_, sent); }
-  /// Its end is stored, and may be told.
+  /// Records that a write that ends the job was sent.
+  void mark_end_write_sent(end_write sent) { end_write_sent_ = std::max(end_write_sent_, sent); }
+  /// Sets the stored terminal state, which may be reported to users from then on.
   void mark_end_stored(const terminal_state& end) { stored_terminal_state_ = end; }
-  /// From now on only its final record remains to be written.
+  /// Starts finalizing the job: only its final record remains to be written.
   void start_finalizing() { is_finalizing_ = true; }
 
-  // Reading its records:
+  // Restoring from stored records:
 
   void restore_ready_time(std::int64_t ready_ms) { ready_ms_ = ready_ms; }
-  /// The number that the unit's next attempt gets at least.
+  /// Restores the lowest number for the unit's next attempt.
   void restore_next_attempt(std::size_t unit, attempt_number number) {
     units_[unit].next_attempt = number;
   }
-  /// The newest change of a unit is that one, and it is stored.
+  /// Restores the number of a unit's newest change, which is stored.
   void restore_change(std::size_t unit, std::uint64_t change);
   void restore_done(std::uint32_t first, std::uint32_t last) { done_.insert_range(first, last); }
-  /// An attempt of an earlier leader.
+  /// Restores an attempt that an earlier leader placed.
   void restore_attempt(std::uint32_t task, const attempt& stored);
-  /// An attempt of an earlier leader that the placement log holds, and its unit's record doesn't.
+  /// Restores an attempt of an earlier leader that is in the placement log but not in the record of
+  /// its unit.
   void restore_logged_attempt(std::uint32_t task, const attempt& logged);
-  /// It is over, as its head says.
+  /// Restores the terminal state from the head record.
   void restore_end(const terminal_state& end);
 
  private:
@@ -261,8 +278,8 @@
   job_status status_ = job_status::active;
   std::map<std::uint32_t, attempt> attempts_;
   range_set done_;
-  std::uint32_t unit_tasks_;
-  std::vector<record_unit> units_;  // [0] the head; parts follow for large jobs
+  std::uint32_t tasks_per_unit_;
+  std::vector<record_unit> units_;  // [0] is the head; a large job has parts after it
   std::optional<terminal_state> stored_terminal_state_;
   end_write end_write_sent_ = end_write::none;
   bool is_finalizing_ = false;
@@ -270,9 +287,9 @@
   time_point last_failure_time_{};
   std::uint32_t backoff_rounds_ = 0;
   time_point not_before_{};
-  attempt_number gang_attempt_;  // of the gang's attempt under way
+  attempt_number gang_attempt_;  // number of the gang's current attempt
   bool gang_started_ = false;
-  std::uint32_t gang_wait_timeouts_ = 0;  // members of that attempt that waited in vain
+  std::uint32_t gang_wait_timeouts_ = 0;  // gang members that timed out in the current attempt
   std::shared_ptr<const admission::job_view> view_;
 };
 
--- a/src/job_store/job_map.hpp
+++ b/src/job_store/job_map.hpp
@@ -7,15 +7,15 @@
 
 namespace gingerdrift::job_store {
 
-/// The unfinished jobs that the leader holds, by id.
+/// The leader's unfinished jobs by id.
 using job_map = std::unordered_map<job_id, job>;
 
-/// The job, or nothing if it is not held.
+/// Returns the job, or null if `jobs` does not contain it.
 inline job* find_job(job_map& jobs, const job_id& id) {
   const auto found = jobs.find(id);
   return found == jobs.end() ? nullptr : &found->second;
 }
-/// The job, or nothing if it is not there.
+/// Returns the job, or null if `jobs` does not contain it.
 inline const job* find_job(const job_map& jobs, const job_id& id) {
   const auto found = jobs.find(id);
   return found == jobs.end() ? nullptr : &found->second;
--- a/src/job_store/job_spec.hpp
+++ b/src/job_store/job_spec.hpp
@@ -11,26 +11,26 @@
 
 namespace gingerdrift::job_store {
 
-/// What a job's owner asked for. Amounts are per task.
+/// Description of a job as its owner submitted it. Amounts are per task.
 struct job_spec {
   job_id id;
   std::string lane;
   std::string team;
-  bool gang = false;  // all tasks run together, or none
+  bool gang = false;  // all tasks run at the same time, or none does
   admission::priority level = admission::priority::standard;
   std::uint32_t tasks = 1;
   admission::resources need;
-  bool any_type = true;            // of machine; otherwise one of `types`
-  std::vector<std::string> types;  // of machines
-  zone_name zone;                  // empty: any
-  bool one_zone = false;           // all tasks in the same zone
-  bool spread = false;             // over several zones
-  bool spot = false;               // may run on machines that can be taken away
+  bool any_type = true;            // any machine type is allowed; otherwise one of `types`
+  std::vector<std::string> types;  // allowed machine types
+  zone_name zone;                  // empty: any zone
+  bool one_zone = false;           // all tasks must run in the same zone
+  bool spread = false;             // tasks must run in several zones
+  bool spot = false;               // may run on spot machines, which the cloud can take away
   std::string image;
   double image_gb = 0;
-  duration estimate{};    // of a task's work
-  duration checkpoint{};  // between the checkpoints that a task makes by itself
-  duration save{};        // to save its work when it is stopped
+  duration estimate{};    // estimated run time of a task
+  duration checkpoint{};  // interval between the checkpoints that a task makes by itself
+  duration save{};        // time to save a task's work when the task is stopped
   std::optional<duration> due;
 };
 
--- a/src/job_store/job_state.hpp
+++ b/src/job_store/job_state.hpp
@@ -6,29 +6,30 @@
 
 namespace gingerdrift::job_store {
 
-/// The latest state that anybody may have been told is not known here: ask the state service, or
-/// tell the user to come back.
+/// The latest state that may have been reported to a user can't be determined here. The caller must
+/// read it from the state service or ask the user to try again later.
 struct indeterminate {};
 
-/// Accepted and not over.
+/// The job was accepted and has not ended. Contains the numbers of finished and of running tasks.
 struct in_progress {
   std::uint32_t done = 0;
   std::uint32_t running = 0;
 };
 
-/// What a user may be told of an accepted job.
+/// State of an accepted job as it may be reported to a user.
 using job_state = std::variant<indeterminate, in_progress, terminal_state>;
 
-/// When users are told that a job is cancelled.
+/// When a cancellation is reported to users.
 enum class cancellation_acknowledgement : std::uint8_t {
-  when_stored,
-  when_tasks_are_gone,  // which its final record says
+  when_stored,          // as soon as the cancellation is stored
+  when_tasks_are_gone,  // as shown by the job's final record
 };
 
-/// From a head record that was read after the user asked.
+/// Returns the state according to the job's head record, which must have been read after the user's
+/// request arrived.
 job_state state_in_record(const job& record, cancellation_acknowledgement acknowledgement);
 
-/// From the memory of a leader whose lease is valid.
+/// Returns the state according to the memory of a leader whose lease is valid.
 job_state state_in_memory(const job& job, cancellation_acknowledgement acknowledgement);
 
 }  // namespace gingerdrift::job_store
--- a/src/job_store/placement_log.cpp
+++ b/src/job_store/placement_log.cpp
@@ -14,11 +14,12 @@
 using json = nlohmann::json;
 
 constexpr std::size_t entry_overhead_bytes = 48;  // numbers, quotes and commas
-/// Keys that are written. The version in production reads no more, and attempts in a key that a
-/// successor passes over would be started twice: starts wait where all of them are full.
-constexpr std::size_t most_slots = 1000;
-/// Keys that are read, so that a later version may write more.
-constexpr std::size_t most_read_slots = 100000;
+/// Maximum number of keys that are written. The version in production reads no more keys, and
+/// attempts in a key that a successor ignores would be started twice. Placements wait while all of
+/// these keys are full.
+constexpr std::size_t max_written_slots = 1000;
+/// Maximum number of keys that are read. It is larger so that a later version may write more keys.
+constexpr std::size_t max_readable_slots = 100000;
 
 std::size_t size_of(const placement& placement) {
   return placement.job.str().size() + placement.machine.str().size() + entry_overhead_bytes;
@@ -57,8 +58,8 @@
   std::size_t slot = 0;
   const char* last = number.data() + number.size();
   const auto parsed = std::from_chars(number.data(), last, slot);
-  if (parsed.ec != std::errc() || parsed.ptr != last || slot >= most_read_slots)
-    throw record_error({}, "no key of the placement log");
+  if (parsed.ec != std::errc() || parsed.ptr != last || slot >= max_readable_slots)
+    throw record_error({}, "not a key of the placement log");
   return slot;
 }
 
@@ -66,29 +67,30 @@
 
 void placement_log::add(placement placement) { pending_.push_back(std::move(placement)); }
 
-/// The open slot for as long as it has room, then the one with the most.
-std::optional<std::size_t> placement_log::choose_slot(const absorbed_fn& absorbed) {
+/// Returns the current slot while it has room, otherwise the slot with the most room, or a new
+/// slot. Removes superseded entries from the slots on the way.
+std::optional<std::size_t> placement_log::choose_slot(const is_superseded_fn& is_superseded) {
   const std::size_t needed = size_of(pending_.front());
-  std::size_t emptiest = slots_.size();
-  std::size_t fewest_bytes = value_bytes_;
+  std::size_t least_used = slots_.size();
+  std::size_t least_used_bytes = value_bytes_;
   for (std::size_t i = 0; i < slots_.size(); ++i) {
-    std::erase_if(slots_[i].entries, absorbed);
+    std::erase_if(slots_[i].entries, is_superseded);
     const std::size_t used = size_of(slots_[i].entries);
-    if (i == open_slot_ && used + needed <= value_bytes_) return i;
-    if (used < fewest_bytes) {
-      emptiest = i;
-      fewest_bytes = used;
+    if (i == current_slot_ && used + needed <= value_bytes_) return i;
+    if (used < least_used_bytes) {
+      least_used = i;
+      least_used_bytes = used;
     }
   }
-  const bool has_room = emptiest != slots_.size() && fewest_bytes + needed <= value_bytes_;
-  if (has_room) return emptiest;
-  if (slots_.size() >= most_slots) return std::nullopt;
+  const bool has_room = least_used != slots_.size() && least_used_bytes + needed <= value_bytes_;
+  if (has_room) return least_used;
+  if (slots_.size() >= max_written_slots) return std::nullopt;
   slots_.emplace_back();
   return slots_.size() - 1;
 }
 
-void placement_log::fill_open_slot() {
-  std::size_t used = size_of(slots_[open_slot_].entries);
+void placement_log::fill_current_slot() {
+  std::size_t used = size_of(slots_[current_slot_].entries);
   auto last = pending_.begin();
   while (last != pending_.end() &&
          (last == pending_.begin() || used + size_of(*last) <= value_bytes_)) {
@@ -100,29 +102,30 @@
   pending_.erase(pending_.begin(), last);
 }
 
-std::optional<placement_log::log_write> placement_log::prepare(const absorbed_fn& absorbed) {
-  std::erase_if(pending_, absorbed);
+std::optional<placement_log::log_write> placement_log::prepare(
+    const is_superseded_fn& is_superseded) {
+  std::erase_if(pending_, is_superseded);
   if (pending_.empty()) return std::nullopt;
-  const auto chosen = choose_slot(absorbed);
+  const auto chosen = choose_slot(is_superseded);
   if (!chosen) return std::nullopt;
-  open_slot_ = *chosen;
-  fill_open_slot();
-  const slot& open = slots_[open_slot_];
+  current_slot_ = *chosen;
+  fill_current_slot();
+  const slot& current = slots_[current_slot_];
   json list = json::array();
-  for (const auto* placements : {&open.entries, &std::as_const(in_flight_)}) {
+  for (const auto* placements : {&current.entries, &std::as_const(in_flight_)}) {
     for (const auto& placement : *placements) list.push_back(encode(placement));
   }
-  const std::string key = log_key(open_slot_);
+  const std::string key = log_key(current_slot_);
   json value = {{field::placements, std::move(list)}};
-  return log_write{.condition = {key, open.version},
+  return log_write{.condition = {key, current.version},
                    .operation = kvstore::operation::put(key, std::move(value))};
 }
 
 std::vector<placement> placement_log::acknowledge(store_revision revision) {
   if (in_flight_.empty()) return {};
-  slot& open = slots_[open_slot_];
-  open.version = revision;
-  open.entries.insert(open.entries.end(), in_flight_.begin(), in_flight_.end());
+  slot& current = slots_[current_slot_];
+  current.version = revision;
+  current.entries.insert(current.entries.end(), in_flight_.begin(), in_flight_.end());
   return std::exchange(in_flight_, {});
 }
 
--- a/src/job_store/placement_log.hpp
+++ b/src/job_store/placement_log.hpp
@@ -13,7 +13,7 @@
 
 namespace gingerdrift::job_store {
 
-/// An attempt that was placed, as the log keeps it until its job's record shows it.
+/// A placed attempt. It stays in the log until the record of its job contains it.
 struct placement {
   job_id job;
   std::uint32_t task = 0;
@@ -21,20 +21,23 @@
   machine_name machine;
   worker_incarnation incarnation;
   std::size_t unit = 0;
-  std::uint64_t change = 0;  // of the unit: a record that has seen it needs the entry no more
+  std::uint64_t change = 0;  // change of the unit; the entry is superseded once it is stored
 };
 
-/// Starts of many jobs, written together in a few keys. A start must be stored before it is sent;
-/// with a write of its job's record for each, hundreds of jobs waited for the store's write limit
-/// while their places stood idle. The records follow at leisure.
+/// Log of the placements of many jobs, which are written together under a few keys.
 ///
-/// Entries stay until the record has caught up. Stale ones do no harm: a reader compares them with
-/// the record's own count of changes.
+/// A placement must be stored before its start command is sent. When each placement took a write of
+/// its job's record, hundreds of jobs waited for the store's write limit while the capacity
+/// reserved for them was idle. With the log, the records can be written later.
+///
+/// An entry stays in the log until the job's record contains its attempt. Superseded entries are
+/// harmless, because a reader compares them with the change number in the record.
 class placement_log {
  public:
-  /// Whether a record has caught up with an entry, or its job is over.
-  using absorbed_fn = std::function<bool(const placement&)>;
-  /// The write of one of the log's keys.
+  /// Reports whether an entry is superseded: the stored record of its job contains the attempt, or
+  /// the job has ended.
+  using is_superseded_fn = std::function<bool(const placement&)>;
+  /// Write of one key of the log.
   struct log_write {
     kvstore::condition condition;
     kvstore::operation operation;
@@ -44,38 +47,39 @@
 
   void add(placement placement);
   void set_value_bytes(std::size_t value_bytes) { value_bytes_ = value_bytes; }
-  /// About the size of the value prepared last.
+  /// Approximate size of the value that was prepared last, in bytes.
   std::size_t prepared_bytes() const { return prepared_bytes_; }
-  /// Whether placements wait to be written.
+  /// Reports whether placements wait to be written.
   bool has_pending() const { return !pending_.empty(); }
 
-  /// The write that stores what is pending, as far as a key has room for it; nothing if nothing is
-  /// pending or every key is full. Its outcome has to be told before the next one.
-  std::optional<log_write> prepare(const absorbed_fn& absorbed);
-  /// The write prepared last was carried out; returns the entries it stored.
+  /// Returns a write that stores as many pending placements as fit into one key, or nothing if no
+  /// placement is pending or all keys are full. acknowledge() or requeue() must be called before
+  /// the next call.
+  std::optional<log_write> prepare(const is_superseded_fn& is_superseded);
+  /// Records that the write prepared last succeeded. Returns the placements that it stored.
   std::vector<placement> acknowledge(store_revision revision);
-  /// The write prepared last failed: its entries are pending again.
+  /// Records that the write prepared last failed. Its placements become pending again.
   void requeue();
-  /// The version of a key of the log, read after an unanswered write.
+  /// Sets the version of a key of the log, which is read again after a write that got no answer.
   void set_version(const std::string& key, store_revision version);
-  /// Takes over a stored key of an earlier leader, and returns its entries. Throws a record_error
-  /// if it is malformed, and then takes over nothing.
+  /// Restores a key that an earlier leader wrote, and returns its entries. If the value is
+  /// malformed, throws record_error and restores nothing.
   std::vector<placement> load(const kvstore::entry& stored);
 
  private:
-  /// A key of the log.
+  /// One key of the log.
   struct slot {
     store_revision version;
     std::vector<placement> entries;
   };
-  /// The slot for the next write; nothing while every key is full.
-  std::optional<std::size_t> choose_slot(const absorbed_fn& absorbed);
-  /// Moves as many pending entries into flight as fit into the open slot.
-  void fill_open_slot();
+  /// Returns the index of the slot for the next write, or nothing while all keys are full.
+  std::optional<std::size_t> choose_slot(const is_superseded_fn& is_superseded);
+  /// Moves as many pending placements to `in_flight_` as fit into the current slot.
+  void fill_current_slot();
 
   std::size_t value_bytes_;
   std::vector<slot> slots_;
-  std::size_t open_slot_ = 0;  // takes new entries
+  std::size_t current_slot_ = 0;  // index of the slot that takes new entries
   std::vector<placement> pending_;
   std::vector<placement> in_flight_;
   std::size_t prepared_bytes_ = 0;
--- a/src/job_store/recent_completions.hpp
+++ b/src/job_store/recent_completions.hpp
@@ -9,15 +9,16 @@
 
 namespace gingerdrift::job_store {
 
-/// When jobs left the leader's job table, to recognise readings of their head records that are
-/// older.
+/// Times at which jobs were removed from the leader's job table, used to detect outdated reads of
+/// their head records.
 ///
-/// A reading shows the moment it was asked for. One that was under way while its job ended still
-/// shows the head, and would bring the job back. The memory is bounded: what was dropped from it
-/// leaves a horizon, and every reading from before that counts as too old.
+/// The result of a read may be as old as the request. A read that is in flight while its job ends
+/// may therefore still return the head, and inserting it would bring the ended job back into the
+/// table. The number of remembered jobs is limited: every read that was requested no later than the
+/// newest dropped completion counts as outdated.
 class recent_completions {
  public:
-  /// Remembers at most `capacity` jobs.
+  /// `capacity`: maximum number of remembered jobs.
   explicit recent_completions(std::size_t capacity) : capacity_(capacity) {}
 
   void add(const job_id& job, time_point now) {
@@ -26,7 +27,8 @@
     if (order_.size() > capacity_) drop_oldest();
   }
 
-  /// Whether a head record of this job, asked for at that time, may be older than the job's end.
+  /// Reports whether a head record of this job that was requested at `read_at` may be older than
+  /// the end of the job.
   bool may_have_ended_since(const job_id& job, time_point read_at) const {
     if (read_at <= horizon_) return true;
     const auto ended = times_.find(job);
@@ -34,7 +36,7 @@
   }
 
  private:
-  /// A job that left the table.
+  /// Removal of a job from the table.
   struct completion {
     time_point time;
     job_id job;
@@ -44,12 +46,13 @@
     const completion oldest = std::move(order_.front());
     order_.pop_front();
     horizon_ = oldest.time;
-    // It may have come and ended once more meanwhile.
+    // The job may have been inserted and have ended a second time since; its newer entry is kept.
     const auto ended = times_.find(oldest.job);
     if (ended != times_.end() && ended->second == oldest.time) times_.erase(ended);
   }
 
   std::size_t capacity_;
+  /// Time of the newest dropped completion.
   time_point horizon_ = time_point::min();
   std::deque<completion> order_;
   std::unordered_map<job_id, time_point> times_;
--- a/src/job_store/record_codec.cpp
+++ b/src/job_store/record_codec.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-constexpr std::uint32_t most_tasks = 100000;
+constexpr std::uint32_t max_tasks = 100000;
 
 job_status decode_status(const std::string& name) {
   for (const auto status : {job_status::active, job_status::done, job_status::cancelled}) {
@@ -71,7 +71,7 @@
   return spec;
 }
 
-/// The tasks that a unit holds, both ends included.
+/// Range of the tasks that a unit holds; both ends are included.
 struct task_range {
   std::uint32_t first = 0;
   std::uint32_t last = 0;
@@ -79,8 +79,8 @@
 
 task_range tasks_of_unit(const job& job, std::size_t unit) {
   const auto part = unit == 0 ? 0 : static_cast<std::uint32_t>(unit - 1);
-  const std::uint32_t first = part * job.unit_tasks();
-  return {first, std::min(first + job.unit_tasks(), job.spec().tasks) - 1};
+  const std::uint32_t first = part * job.tasks_per_unit();
+  return {first, std::min(first + job.tasks_per_unit(), job.spec().tasks) - 1};
 }
 
 json encode_finished_tasks(const job& job, const task_range& tasks) {
@@ -106,7 +106,7 @@
   return attempts;
 }
 
-/// The attempts and finished tasks of one unit; finished tasks as ranges.
+/// Encodes the attempts and finished tasks of one unit; the finished tasks as ranges.
 void encode_tasks(const job& job, std::size_t unit, json& record) {
   const task_range tasks = tasks_of_unit(job, unit);
   record[field::next_attempt] = job.units()[unit].next_attempt.value();
@@ -127,13 +127,12 @@
 
 void decode_attempt(job& job, const json& item) {
   const auto task = element<std::uint32_t>(item, field::attempts, 0);
-  if (task >= job.spec().tasks)
-    throw record_error(field::attempts, "of a task that the job has not");
+  if (task >= job.spec().tasks) throw record_error(field::attempts, "not a task of the job");
   attempt placed;
   placed.number = attempt_number(element<std::uint64_t>(item, field::attempts, 1));
   placed.machine = machine_name(element<std::string>(item, field::attempts, 2));
   placed.incarnation = worker_incarnation(element<std::uint64_t>(item, field::attempts, 3));
-  placed.phase = attempt_phase::sent;  // an earlier leader may have sent it
+  placed.phase = attempt_phase::sent;  // an earlier leader may have sent the start command
   job.restore_attempt(task, placed);
 }
 
@@ -159,7 +158,8 @@
   job.wait_for(std::move(names), std::move(more));
 }
 
-/// The head of a large job counts its own changes alone: its tasks are in the parts.
+/// Decodes the head's unit. The head of a large job only has the number of its own newest change:
+/// its tasks are in the parts.
 void decode_head_unit(job& job, const json& record, store_revision version) {
   job.set_version(0, version);
   if (!job.large()) return decode_tasks(job, 0, record);
@@ -186,7 +186,7 @@
   json record = {
       {job.waiting() ? field::spec_of_waiting_job : field::spec, encode_spec(job.spec())},
       {field::created, job.created_ms()},
-      {field::unit_tasks, job.unit_tasks()},
+      {field::tasks_per_unit, job.tasks_per_unit()},
       {field::status, status_name(job.status())}};
   if (job.ready_ms() != 0) record[field::ready] = job.ready_ms();
   if (job.waiting()) {
@@ -207,11 +207,12 @@
   const bool waiting = record.contains(field::spec_of_waiting_job);
   const char* spec_field = waiting ? field::spec_of_waiting_job : field::spec;
   job_spec spec = decode_spec(required_field(record, spec_field));
-  if (spec.tasks == 0 || spec.tasks > most_tasks) throw record_error(field::tasks, "out of range");
+  if (spec.tasks == 0 || spec.tasks > max_tasks) throw record_error(field::tasks, "out of range");
   const auto created_ms = required<std::int64_t>(record, field::created);
-  const auto unit_tasks = required<std::uint32_t>(record, field::unit_tasks);
-  if (unit_tasks < job::least_unit) throw record_error(field::unit_tasks, "too small");
-  job job(std::move(spec), created_ms, unit_tasks);
+  const auto tasks_per_unit = required<std::uint32_t>(record, field::tasks_per_unit);
+  if (tasks_per_unit < job::min_tasks_per_unit)
+    throw record_error(field::tasks_per_unit, "too small");
+  job job(std::move(spec), created_ms, tasks_per_unit);
   if (waiting) decode_dependencies(job, record);
   if (record.contains(field::ready))
     job.restore_ready_time(required<std::int64_t>(record, field::ready));
@@ -229,7 +230,7 @@
 }
 
 void decode_part(job& job, std::size_t unit, const json& record, store_revision version) {
-  if (unit == 0 || unit >= job.units().size()) throw record_error({}, "no part of its job");
+  if (unit == 0 || unit >= job.units().size()) throw record_error({}, "not a part of its job");
   job.set_version(unit, version);
   decode_tasks(job, unit, record);
 }
@@ -240,10 +241,10 @@
 
 terminal_state decode_final(const json& record) {
   const json& done = required_field(record, field::done);
-  if (!done.is_number_unsigned() || done.get<std::uint64_t>() > most_tasks)
-    throw record_error(field::done, "no number of tasks");
+  if (!done.is_number_unsigned() || done.get<std::uint64_t>() > max_tasks)
+    throw record_error(field::done, "not a number of tasks");
   const job_status status = decode_status(required<std::string>(record, field::status));
-  if (status == job_status::active) throw record_error(field::status, "the job is not over");
+  if (status == job_status::active) throw record_error(field::status, "the job has not ended");
   return {status, done.get<std::uint32_t>()};
 }
 
@@ -257,11 +258,11 @@
 
 std::vector<json> encode_dependency_parts(const std::vector<job_id>& names,
                                           std::size_t value_bytes) {
-  constexpr std::size_t name_overhead = 3;  // quotes and a comma
+  constexpr std::size_t name_overhead_bytes = 3;  // quotes and a comma
   std::vector<json> parts;
   std::size_t used_bytes = value_bytes;
   for (const auto& name : names) {
-    const std::size_t name_bytes = name.str().size() + name_overhead;
+    const std::size_t name_bytes = name.str().size() + name_overhead_bytes;
     if (used_bytes + name_bytes > value_bytes) {
       parts.push_back(json::array());
       used_bytes = 0;
--- a/src/job_store/record_error.hpp
+++ b/src/job_store/record_error.hpp
@@ -6,12 +6,15 @@
 
 namespace gingerdrift::job_store {
 
-/// A stored record is not what any version writes. Thrown by the codecs of heads, parts, final
-/// records, dependency lists and the placement log; caught where the record was read, logged with
-/// its key, and nothing is concluded from the record.
+/// Reports that a stored record has a form that no version writes.
+///
+/// Thrown by the codecs of heads, parts, final records, dependency lists and the placement log. The
+/// code that read the record catches it, logs it with the record's key and concludes nothing from
+/// the record.
 class record_error : public std::runtime_error {
  public:
-  /// `field` is empty where it is the record as a whole, or its key, that is wrong.
+  /// `field`: name of the malformed field; empty if the record as a whole, or its key, is
+  /// malformed.
   record_error(std::string field, std::string reason)
       : std::runtime_error(field.empty() ? reason : field + ": " + reason),
         field_(std::move(field)),
--- a/src/job_store/record_keys.cpp
+++ b/src/job_store/record_keys.cpp
@@ -8,13 +8,14 @@
 
 constexpr char part_separator = '/';
 
-/// What follows a prefix; nothing if the key has another one, or nothing follows.
+/// Returns the part of the key after `prefix`, or nothing if the key has another prefix or consists
+/// of the prefix only.
 std::optional<std::string> suffix_of(const std::string& key, const std::string& prefix) {
   if (key.rfind(prefix, 0) != 0 || key.size() == prefix.size()) return std::nullopt;
   return key.substr(prefix.size());
 }
 
-std::optional<job_id> job_behind(const std::string& key, const char* prefix) {
+std::optional<job_id> job_after_prefix(const std::string& key, const char* prefix) {
   auto name = suffix_of(key, prefix);
   if (!name) return std::nullopt;
   return job_id(std::move(*name));
@@ -51,11 +52,11 @@
 }
 
 std::optional<job_id> job_of_head_key(const std::string& key) {
-  return job_behind(key, head_prefix);
+  return job_after_prefix(key, head_prefix);
 }
 
 std::optional<job_id> job_of_final_key(const std::string& key) {
-  return job_behind(key, final_prefix);
+  return job_after_prefix(key, final_prefix);
 }
 
 bool is_log_key(const std::string& key) { return key.rfind(log_prefix, 0) == 0; }
--- a/src/job_store/record_reader.hpp
+++ b/src/job_store/record_reader.hpp
@@ -7,7 +7,8 @@
 
 namespace gingerdrift::job_store {
 
-/// Runs an access to a field, and names that field in the error if the record is malformed there.
+/// Calls `read`, which accesses a field of a record. If the record is malformed there, throws a
+/// record_error with the name of the field.
 template <typename access>
 decltype(auto) read_field(const char* field, access read) {
   try {
@@ -17,24 +18,24 @@
   }
 }
 
-/// The value of a field that has to be there.
+/// Returns the value of a mandatory field.
 template <typename value_type>
 value_type required(const nlohmann::json& record, const char* field) {
   return read_field(field, [&] { return record.at(field).get<value_type>(); });
 }
 
-/// A field that has to be there, whatever its value.
+/// Returns a mandatory field, whatever the type of its value.
 inline const nlohmann::json& required_field(const nlohmann::json& record, const char* field) {
   return read_field(field, [&]() -> const nlohmann::json& { return record.at(field); });
 }
 
-/// A value of a field that holds a list of a fixed length.
+/// Returns an element of a mandatory field that holds a list of fixed length.
 template <typename value_type>
 value_type required_element(const nlohmann::json& record, const char* field, std::size_t index) {
   return read_field(field, [&] { return record.at(field).at(index).get<value_type>(); });
 }
 
-/// A value of a list within a field.
+/// Returns an element of a list inside a field. `field`: name of the field for error messages.
 template <typename value_type>
 value_type element(const nlohmann::json& list, const char* field, std::size_t index) {
   return read_field(field, [&] { return list.at(index).get<value_type>(); });
--- a/src/job_store/terminal_state.hpp
+++ b/src/job_store/terminal_state.hpp
@@ -8,20 +8,20 @@
 
 namespace gingerdrift::job_store {
 
-/// Whether a job goes on. Once done or cancelled it stays so.
+/// Status of a job. The statuses done and cancelled are final.
 enum class job_status : std::uint8_t { active, done, cancelled };
 
 class job;
 
-/// How a job ended, as the state service has it.
+/// Terminal state of a job, as stored in the state service.
 ///
-/// There are two ways to one: a record that was read, and the acknowledgement of the write that
-/// stored it. What a leader's memory says of a job is neither, so that nothing else can be told to
-/// users as final, cached, or passed on to dependents.
+/// An object can be created in two ways only: from a record that was read, and when the write that
+/// stored it is acknowledged. The state of a job in a leader's memory is neither of these. This
+/// ensures that nothing else is reported to users as final, cached, or passed on to dependent jobs.
 class terminal_state {
  public:
   job_status status() const { return status_; }
-  /// How many of its tasks were done by then.
+  /// Number of tasks that were done when the job ended.
   std::uint32_t tasks_done() const { return tasks_done_; }
 
  private:
@@ -29,7 +29,7 @@
       : status_(status), tasks_done_(tasks_done) {}
   friend terminal_state decode_final(const nlohmann::json& record);
   friend job decode_head(const nlohmann::json& record, store_revision version);
-  friend class group_commit;  // once the state service has acknowledged the write
+  friend class group_commit;  // creates one when the state service has acknowledged the write
 
   job_status status_;
   std::uint32_t tasks_done_;
--- a/src/job_store/transaction_limits.hpp
+++ b/src/job_store/transaction_limits.hpp
@@ -7,10 +7,11 @@
 
 namespace gingerdrift::job_store {
 
-/// The largest transactions and values that the leader writes.
+/// Size limits of the transactions and values that the leader writes.
 ///
-/// The service's limits may fall without notice: the same transaction would then be refused for
-/// ever. So the limits here fall with each transaction that is refused for its size.
+/// The limits of the state service may be lowered without notice. The same transaction would then
+/// be rejected on every retry, so the limits here are reduced each time a transaction is rejected
+/// for its size.
 class transaction_limits {
  public:
   explicit transaction_limits(const kvstore::service_limits& sizes)
@@ -19,10 +20,12 @@
   std::uint32_t operations() const { return operations_; }
   std::size_t value_bytes() const { return value_bytes_; }
 
-  /// A transaction with so many operations, and with that largest value, was refused for its size.
-  /// The next one has half of its operations, and in the end nothing as large as the one value that
-  /// was refused alone.
-  void reduce(std::size_t refused_operations, std::size_t largest_value_bytes);
+  /// Reduces the limits after a transaction was rejected for its size. `rejected_operations`:
+  /// number of its operations. `largest_value_bytes`: size of its largest value.
+  ///
+  /// The next transaction has half as many operations. Once transactions have the minimum number of
+  /// operations, values must be at most half as large as the largest one that was rejected.
+  void reduce(std::size_t rejected_operations, std::size_t largest_value_bytes);
 
  private:
   std::uint32_t operations_;
--- a/tests/job_test.cpp
+++ b/tests/job_test.cpp
@@ -1,4 +1,5 @@
-// What a job's operations keep true, and what the record codec says of malformed records.
+// Tests the operations of a job, the errors of the record codec for malformed records, and the
+// parsing of record keys.
 #include <gtest/gtest.h>
 
 #include "job_builder.hpp"
@@ -23,8 +24,8 @@
   return {std::move(spec), 0};
 }
 
-/// The field that a head is refused for.
-std::string refused_field(const json& head) {
+/// Returns the field that is malformed in a head record; "none" if the record is valid.
+std::string malformed_field(const json& head) {
   try {
     job_store::decode_head(head, store_revision(1));
   } catch (const record_error& error) {
@@ -35,23 +36,24 @@
 
 }  // namespace
 
-TEST(job, numbers_each_attempt_of_a_task_anew) {
+TEST(job, gives_each_attempt_at_a_task_a_new_number) {
   job_store::job job = make_job("run-1", 2);
   EXPECT_EQ(job.allocate_attempt_number(0), attempt_number(1));
   EXPECT_EQ(job.allocate_attempt_number(0), attempt_number(2));
-  EXPECT_EQ(job.allocate_attempt_number(1), attempt_number(3)) << "tasks of a unit share a count";
+  EXPECT_EQ(job.allocate_attempt_number(1), attempt_number(3)) << "tasks of a unit share a counter";
 }
 
-TEST(job, gives_the_members_of_a_gang_one_number_until_its_attempt_is_over) {
+TEST(job, gives_all_members_of_a_gang_attempt_the_same_number) {
   job_store::job gang = make_gang(2);
   EXPECT_EQ(gang.allocate_attempt_number(0), attempt_number(1));
   EXPECT_EQ(gang.allocate_attempt_number(1), attempt_number(1));
-  EXPECT_EQ(gang.allocate_attempt_number(1), attempt_number(1)) << "a replacement of a member";
+  EXPECT_EQ(gang.allocate_attempt_number(1), attempt_number(1))
+      << "a replacement member gets the same number";
   gang.reset_gang_attempt();
   EXPECT_EQ(gang.allocate_attempt_number(0), attempt_number(2));
 }
 
-TEST(job, of_a_gang_is_done_with_its_first_member) {
+TEST(job, of_a_gang_is_done_when_its_first_member_succeeds) {
   job_store::job gang = make_gang(3);
   place_first_attempt(gang, 1, "n-1");
   gang.finish_task(1);
@@ -61,29 +63,29 @@
   EXPECT_TRUE(gang.ready_to_finalize());
 }
 
-TEST(job, that_is_cancelled_does_not_become_done) {
+TEST(job, does_not_become_done_after_cancellation) {
   job_store::job job = make_job("run-1");
   place_first_attempt(job, 0, "n-1");
   job.cancel();
-  EXPECT_FALSE(job.ready_to_finalize()) << "a task of it may still run";
+  EXPECT_FALSE(job.ready_to_finalize()) << "one of its tasks may still be running";
   job.finish_task(0);
   EXPECT_FALSE(job.complete_if_all_tasks_done());
   EXPECT_EQ(job.status(), job_status::cancelled);
   EXPECT_TRUE(job.ready_to_finalize());
 }
 
-TEST(job, notes_since_when_a_task_runs) {
+TEST(job, records_when_a_task_started_running) {
   job_store::job job = make_job("run-1");
   place_first_attempt(job, 0, "n-1");
   job.cache_view(std::make_shared<admission::job_view>());
   job.update_phase(0, attempt_phase::running, now);
-  EXPECT_EQ(job.view(), nullptr) << "scheduling cycles see that it runs";
+  EXPECT_EQ(job.view(), nullptr) << "the cached view must be discarded";
   job.update_phase(0, attempt_phase::running, now + seconds(1));
   EXPECT_EQ(job.attempts().at(0).running_since, now);
   EXPECT_TRUE(job.gang_started());
 }
 
-TEST(job, backs_off_longer_each_time_it_fails_on_several_machines) {
+TEST(job, increases_backoff_each_time_it_fails_on_several_machines) {
   const job_store::failure_policy policy{.distinct_machines = 2,
                                          .pause = milliseconds(500),
                                          .first_backoff = seconds(5),
@@ -103,33 +105,33 @@
   EXPECT_EQ(job.backoff_rounds(), 0U);
 }
 
-TEST(record_codec, names_the_field_that_is_malformed) {
+TEST(record_codec, reports_which_field_is_malformed) {
   const json head = job_store::encode_head(make_job("run-1", 2));
-  EXPECT_EQ(refused_field(head), "none");
+  EXPECT_EQ(malformed_field(head), "none");
   for (const char* field : {"created", "unit", "status", "next_try", "change", "spec"}) {
     json without = head;
     without.erase(field);
-    EXPECT_EQ(refused_field(without), field);
+    EXPECT_EQ(malformed_field(without), field);
   }
   json wrong = head;
   wrong["done"] = {{1, 2}};
-  EXPECT_EQ(refused_field(wrong), "done") << "the job has no task 2";
+  EXPECT_EQ(malformed_field(wrong), "done") << "the job has no task 2";
   wrong = head;
   wrong["attempts"] = {{2, 1, "n-1", 1}};
-  EXPECT_EQ(refused_field(wrong), "attempts");
+  EXPECT_EQ(malformed_field(wrong), "attempts");
   wrong = head;
   wrong["spec"].erase("rules");
-  EXPECT_EQ(refused_field(wrong), "rules");
+  EXPECT_EQ(malformed_field(wrong), "rules");
 }
 
-TEST(record_codec, refuses_dependency_lists_of_anything_but_names) {
+TEST(record_codec, rejects_dependency_lists_that_contain_anything_but_names) {
   EXPECT_EQ(job_store::decode_dependency_part(json::array({"run-1", "run-2"})),
             (std::vector<job_id>{"run-1", "run-2"}));
   for (const json& wrong : {json("run-1"), json::array({1}), json(nullptr)})
     EXPECT_THROW(job_store::decode_dependency_part(wrong), record_error) << wrong;
 }
 
-TEST(record_keys, tell_which_unit_of_which_job_they_hold) {
+TEST(record_keys, are_parsed_into_job_and_unit) {
   EXPECT_EQ(job_store::unit_of_key("gd/job/run-1"), (job_store::unit_id{"run-1", 0}));
   EXPECT_EQ(job_store::unit_of_key("gd/part/run-1/12"), (job_store::unit_id{"run-1", 12}));
   for (const char* other : {"gd/job/", "gd/part/run-1", "gd/part/run-1/x", "gd/final/run-1"})
--- a/tests/store_test.cpp
+++ b/tests/store_test.cpp
@@ -1,4 +1,5 @@
-// How the leader's records are written: order, budgets, and limits that fall.
+// Tests how the leader's records are written: their order, the write budget, and state service
+// limits that are lowered while the leader runs.
 #include <gtest/gtest.h>
 
 #include "former_version.hpp"
@@ -15,7 +16,7 @@
 }  // namespace
 
 // The leader's records and the users' submissions share one write budget.
-TEST(job_table, leaves_writes_for_submissions_however_many_records_change) {
+TEST(job_table, leaves_writes_for_submissions_when_many_records_change) {
   const kvstore::service_limits limits{
       .requests_per_s = 100, .writes_per_s = 20, .value_kb = 8, .txn_operations = 24};
   sim_net net{1};
@@ -29,7 +30,7 @@
   job_store::job_table table(runtime, client, leader_key, limits, owner);
   for (int i = 0; i < 100; ++i) table.insert(make_job(numbered_job(i), 3));
 
-  // Five times as many records change as may be written.
+  // Records change five times as often as they may be written.
   for (int tick = 0; tick < 100; ++tick) {
     net.after(milliseconds(100) * tick, [&, tick] {
       for (int i = 0; i < 10; ++i)
@@ -46,43 +47,45 @@
   net.run_for(seconds(11));
 
   EXPECT_EQ(accepted, 9);
-  EXPECT_GT(stored, 100U) << "records go on being written";
+  EXPECT_GT(stored, 100U) << "records must still be written";
 }
 
-TEST(change_queue, puts_urgent_changes_before_progress_and_takes_it_along) {
+TEST(change_queue, returns_urgent_units_first_together_with_their_deferrable_changes) {
   job_store::change_queue changes;
   const time_point start{seconds(100)};
-  changes.add_progress({"run-1", 0}, start);
-  changes.add_progress({"run-2", 0}, start);
-  EXPECT_FALSE(changes.due(start + milliseconds(300)));
-  EXPECT_FALSE(changes.next_progress(start + milliseconds(300)).has_value()) << "it waits for more";
+  changes.add_deferrable({"run-1", 0}, start);
+  changes.add_deferrable({"run-2", 0}, start);
+  EXPECT_FALSE(changes.has_due_changes(start + milliseconds(300)));
+  EXPECT_FALSE(changes.pop_due_deferrable(start + milliseconds(300)).has_value())
+      << "the unit waits for further changes";
 
   changes.add_urgent({"run-2", 0});
 
-  EXPECT_EQ(changes.next_urgent()->job, "run-2");
-  EXPECT_EQ(changes.next_progress(start + seconds(1))->job, "run-1");
-  EXPECT_FALSE(changes.next_progress(start + seconds(1)).has_value())
-      << "run-2 went with its status";
+  EXPECT_EQ(changes.pop_urgent()->job, "run-2");
+  EXPECT_EQ(changes.pop_due_deferrable(start + seconds(1))->job, "run-1");
+  EXPECT_FALSE(changes.pop_due_deferrable(start + seconds(1)).has_value())
+      << "run-2 was returned as urgent";
   EXPECT_TRUE(changes.empty());
 }
 
 namespace {
 
-/// A leader's job table against a store whose limits may fall.
-class job_table_with_falling_limits : public ::testing::Test {
+/// A leader's job table with a state service whose limits may be lowered.
+class job_table_limits_test : public ::testing::Test {
  protected:
-  job_table_with_falling_limits() { state.limit(wide); }
+  job_table_limits_test() { state.limit(normal_limits); }
   void make_table(const kvstore::service_limits& sizes) {
     table = std::make_unique<job_store::job_table>(runtime, client, leader_key, sizes, owner());
   }
   job_store::job_table::hooks owner() {
     auto owner = no_op_hooks();
     owner.finalized = [this](const job_id& id, const job_store::terminal_state&) {
-      gone.push_back(id);
+      finalized_jobs.push_back(id);
     };
     return owner;
   }
-  /// As an earlier version may have written it: more attempts than a small value holds.
+  /// Inserts a job whose record is too large for `reduced_limits`, as an earlier version may have
+  /// written it.
   job_store::job& insert_large_record(const job_id& id) {
     job_store::job job = make_job(id, 120, 150);
     for (std::uint32_t task = 0; task < job.spec().tasks; ++task)
@@ -90,33 +93,34 @@
     return table->insert(job);
   }
 
-  const kvstore::service_limits wide{
+  const kvstore::service_limits normal_limits{
       .requests_per_s = 100, .writes_per_s = 50, .value_kb = 8, .txn_operations = 24};
-  const kvstore::service_limits narrow{
+  const kvstore::service_limits reduced_limits{
       .requests_per_s = 100, .writes_per_s = 50, .value_kb = 2, .txn_operations = 8};
   sim_net net{1};
   state_service state{net, "state:1"};
   sim_runtime runtime{net, "node-0"};
-  kvstore::client client{runtime, "state:1", wide, narrow, half_for_users};
+  kvstore::client client{runtime, "state:1", normal_limits, reduced_limits, half_for_users};
   std::unique_ptr<job_store::job_table> table;
-  std::vector<job_id> gone;
+  std::vector<job_id> finalized_jobs;
 };
 
 }  // namespace
 
-TEST_F(job_table_with_falling_limits, ends_a_job_whose_record_is_too_large_to_be_written) {
-  state.limit(narrow);
-  make_table(narrow);
+TEST_F(job_table_limits_test, ends_a_job_whose_record_is_too_large_to_be_written) {
+  state.limit(reduced_limits);
+  make_table(reduced_limits);
   job_store::job& job = insert_large_record("run-1");
   job.cancel();
   table->mark_head(job);
-  std::optional<bool> waiter_got_end;
+  std::optional<bool> waiter_got_state;
   table->when_terminal(job, [&](const std::optional<job_store::terminal_state>& end) {
-    waiter_got_end = end.has_value();
+    waiter_got_state = end.has_value();
   });
   net.run_for(seconds(1));
-  EXPECT_EQ(waiter_got_end, std::optional(false)) << "who waits for it hears so at once";
-  EXPECT_EQ(state.refused_for_size(), 0U) << "it is not even tried";
+  EXPECT_EQ(waiter_got_state, std::optional(false))
+      << "users who wait for the end are answered at once";
+  EXPECT_EQ(state.refused_for_size(), 0U) << "the write must not be attempted";
   EXPECT_EQ(state.peek("gd/job/run-1"), nullptr);
 
   while (job.attempts().size() > 10) {
@@ -124,21 +128,22 @@
     table->mark_task(job, 0, job_store::write_urgency::deferrable);
   }
   net.run_for(seconds(2));
-  EXPECT_NE(state.peek("gd/job/run-1"), nullptr) << "small enough by now";
+  EXPECT_NE(state.peek("gd/job/run-1"), nullptr) << "the record is small enough now";
   EXPECT_TRUE(job.stored_terminal_state().has_value());
 
   remove_all_attempts(job);
   table->finalize(job);
   net.run_for(seconds(1));
-  EXPECT_EQ(gone, std::vector<job_id>{"run-1"});
+  EXPECT_EQ(finalized_jobs, std::vector<job_id>{"run-1"});
   EXPECT_NE(state.peek("gd/final/run-1"), nullptr);
 }
 
-TEST_F(job_table_with_falling_limits, does_not_repeat_for_ever_what_is_refused_for_its_size) {
-  make_table(wide);
+TEST_F(job_table_limits_test,
+       does_not_endlessly_repeat_transactions_that_are_rejected_for_their_size) {
+  make_table(normal_limits);
   for (int i = 0; i < 20; ++i) table->mark_head(table->insert(make_job(numbered_job(100 + i))));
   table->mark_head(insert_large_record("run-1"));
-  state.limit(narrow);
+  state.limit(reduced_limits);
 
   net.run_for(seconds(20));
 
@@ -148,9 +153,10 @@
     EXPECT_NE(state.peek("gd/job/run-" + std::to_string(100 + i)), nullptr) << i;
 }
 
-// Placements and progress never end; with few writes a second they once left none for final states,
-// which need two at a time.
-TEST_F(job_table_with_falling_limits, writes_final_states_before_placements_and_progress) {
+// Guards against starvation of final states. Placements and deferrable changes arrive all the time.
+// With few writes per second they once used up the write budget, and none was left for final
+// states, which need two writes at a time.
+TEST_F(job_table_limits_test, writes_final_states_before_placements_and_deferrable_changes) {
   const kvstore::service_limits few_writes{
       .requests_per_s = 100, .writes_per_s = 12, .value_kb = 2, .txn_operations = 8};
   state.limit(few_writes);
@@ -177,11 +183,11 @@
   }
   net.run_for(seconds(19));
 
-  EXPECT_EQ(gone.size(), 30U);
+  EXPECT_EQ(finalized_jobs.size(), 30U);
 }
 
-TEST_F(job_table_with_falling_limits, ends_a_large_job_with_its_parts_in_one_transaction) {
-  make_table(narrow);
+TEST_F(job_table_limits_test, finalizes_a_large_job_and_removes_its_parts_in_one_transaction) {
+  make_table(reduced_limits);
   job_store::job& job = table->insert(make_job("run-1", 100, 50));
   for (const std::uint32_t task : {1U, 60U}) {
     place_first_attempt(job, task, "n-100000");
@@ -196,17 +202,18 @@
   table->finalize(job);
   net.run_for(seconds(1));
 
-  EXPECT_EQ(gone, std::vector<job_id>{"run-1"});
+  EXPECT_EQ(finalized_jobs, std::vector<job_id>{"run-1"});
   EXPECT_EQ(state.peek("gd/part/run-1/1"), nullptr);
   EXPECT_EQ(state.peek("gd/part/run-1/2"), nullptr);
-  EXPECT_EQ(state.writes_taken() - writes, 4U) << "head and two parts go, the final record comes";
+  EXPECT_EQ(state.writes_taken() - writes, 4U)
+      << "the head and two parts are removed, the final record is written";
 }
 
-TEST_F(job_table_with_falling_limits, its_client_uses_the_announced_rates_after_a_refusal) {
-  const kvstore::service_limits fallen{
+TEST_F(job_table_limits_test, client_uses_the_announced_rates_after_a_rejection) {
+  const kvstore::service_limits announced_limits{
       .requests_per_s = 100, .writes_per_s = 10, .value_kb = 2, .txn_operations = 8};
-  kvstore::client busy(runtime, "state:1", wide, fallen, half_for_users);
-  state.limit(fallen);
+  kvstore::client busy(runtime, "state:1", normal_limits, announced_limits, half_for_users);
+  state.limit(announced_limits);
   std::size_t stored = 0;
 
   const auto write = [&](int number) {
@@ -216,15 +223,17 @@
   for (int i = 0; i < 3000; ++i) net.after(milliseconds(10) * i, [&write, i] { write(i); });
   net.run_for(seconds(31));
 
-  EXPECT_LT(state.refused_for_rate(), 10U) << "no storm of refusals";
+  EXPECT_LT(state.refused_for_rate(), 10U)
+      << "the client must not continue above the announced rate";
   EXPECT_GT(stored, 250U);
 }
 
-// A successor with the version in production reads no further: attempts there would start twice.
+// Guards against tasks that are started twice: a successor that runs the version in production
+// reads only the first 1000 keys of the log and would start the attempts in further keys again.
 TEST(placement_log, writes_no_more_keys_than_former_versions_read) {
   constexpr std::size_t bytes_for_one = 100;
   job_store::placement_log log(bytes_for_one);
-  const auto none_absorbed = [](const job_store::placement&) { return false; };
+  const auto none_superseded = [](const job_store::placement&) { return false; };
   std::set<std::string> keys;
   for (std::uint32_t task = 0; task < 1100; ++task) {
     log.add({.job = "run-7",
@@ -234,11 +243,12 @@
              .incarnation = worker_incarnation(1),
              .unit = 0,
              .change = task + 1});
-    if (const auto write = log.prepare(none_absorbed)) keys.insert(write->operation.key);
+    if (const auto write = log.prepare(none_superseded)) keys.insert(write->operation.key);
     log.acknowledge(store_revision(task + 1));
   }
   EXPECT_EQ(keys.size(), 1000U);
-  EXPECT_TRUE(log.has_pending()) << "the rest waits until records have caught up";
+  EXPECT_TRUE(log.has_pending())
+      << "the others wait until the records of their jobs contain the logged attempts";
   for (const auto& key : keys) {
     for (const auto* former : former_version::all_releases())
       EXPECT_NO_THROW(former->read_log_jobs(key, R"({"starts":[]})")) << key;
@@ -250,8 +260,9 @@
   EXPECT_TRUE(write.has_value());
 }
 
-// A herd of workers and users uses up what the node may ask; its lease must not end for that.
-TEST(kvstore_client, sends_a_renewal_though_the_budget_is_used_up) {
+// Guards against a leader that loses its lease because requests of many workers and users have used
+// up the request budget of its controller.
+TEST(kvstore_client, sends_a_lease_renewal_although_the_request_budget_is_used_up) {
   sim_net net{1};
   state_service state(net, "state:1");
   sim_runtime runtime(net, "node-0");
