--- a/src/leader/leader_term.cpp
+++ b/src/leader/leader_term.cpp
@@ -93,17 +93,18 @@
 }
 
 job_store::job_table::hooks leader_term::job_table_callbacks() {
-  return {.stored =
-              [this](const job_id& id) {
-                dependencies_.job_stored(id);
-                loop_.request_cycle();
-              },
-          .gone = [this](const job_id& id,
-                         const job_store::terminal_state& end) { handle_job_finalized(id, end); },
-          .committed = [this] { heartbeats_.answer_held_heartbeats(); },
-          // The callback destroys this term, so it must not run within a member function.
-          .deposed = [this] { runtime_.after(duration::zero(), callbacks_.deposed); },
-          .may_write = [this] { return callbacks_.lease_valid(); }};
+  return {
+      .stored =
+          [this](const job_id& id) {
+            dependencies_.job_stored(id);
+            loop_.request_cycle();
+          },
+      .finalized = [this](const job_id& id,
+                          const job_store::terminal_state& end) { handle_job_finalized(id, end); },
+      .committed = [this] { heartbeats_.answer_held_heartbeats(); },
+      // The callback destroys this term, so it must not run within a member function.
+      .deposed = [this] { runtime_.after(duration::zero(), callbacks_.deposed); },
+      .may_write = [this] { return callbacks_.lease_valid(); }};
 }
 
 workers::reconciler::hooks leader_term::reconciler_callbacks() {
--- a/src/workers/attempt_outcomes.cpp
+++ b/src/workers/attempt_outcomes.cpp
@@ -16,7 +16,7 @@
 void attempt_outcomes::complete_task(job_store::job& job, std::uint32_t task) {
   release_placement(job, task);
   job.finish_task(task);
-  jobs_.mark(job, task, job_store::write_urgency::progress);
+  jobs_.mark_task(job, task, job_store::write_urgency::deferrable);
   if (job.complete_if_all_tasks_done()) jobs_.mark_head(job);
   if (job.ready_to_finalize()) jobs_.finalize(job);
   events_.changed();
@@ -41,7 +41,7 @@
 
 void attempt_outcomes::end_attempt(job_store::job& job, std::uint32_t task) {
   release_placement(job, task);
-  jobs_.mark(job, task, job_store::write_urgency::progress);
+  jobs_.mark_task(job, task, job_store::write_urgency::deferrable);
 }
 
 void attempt_outcomes::update_job_after_attempt_end(job_store::job& job, bool replaceable) {
--- a/src/workers/exit_handler.cpp
+++ b/src/workers/exit_handler.cpp
@@ -34,8 +34,9 @@
   // Other members may still be fetching the image, and stopping them would lose that progress. If
   // fetching takes longer than a member may wait, a gang that is stopped as a whole each time never
   // starts.
-  const bool replaceable = cause == exit_cause::gang_incomplete &&
-                           job.count_vain_wait() < max_gang_waits_per_member * job.spec().tasks;
+  const bool replaceable =
+      cause == exit_cause::gang_incomplete &&
+      job.count_gang_wait_timeout() < max_gang_waits_per_member * job.spec().tasks;
   outcomes_.update_job_after_attempt_end(job, replaceable);
 }
 
@@ -45,7 +46,7 @@
   if (job == nullptr || status.task >= job->spec().tasks) return true;
   const auto& unit = job->units()[job->unit_of(status.task)];
   const auto exit = sender.handled_exits.find({{status.job, status.task}, status.number});
-  if (exit != sender.handled_exits.end() && unit.stored >= exit->second) return true;
+  if (exit != sender.handled_exits.end() && unit.stored_change >= exit->second) return true;
   // The exit was handled by an earlier leader. It may be acknowledged if no change of the record
   // unit remains to be stored, or if another attempt has replaced the one that exited.
   const auto attempt = job->attempts().find(status.task);
@@ -55,7 +56,7 @@
 
 void exit_handler::await_storage(worker& sender, const job_store::job& job,
                                  const attempt_id& attempt) {
-  sender.handled_exits[attempt] = job.units()[job.unit_of(attempt.task.index)].mutation;
+  sender.handled_exits[attempt] = job.units()[job.unit_of(attempt.task.index)].latest_change;
 }
 
 }  // namespace gingerdrift::workers
--- a/src/workers/heartbeat_reconciliation.cpp
+++ b/src/workers/heartbeat_reconciliation.cpp
@@ -52,7 +52,7 @@
 
 void heartbeat_reconciliation::apply_phase(job_store::job& job, const task_status& status) {
   const auto& current = job.attempts().at(status.task);
-  if (!current.seen || current.phase != status.phase) job.invalidate_view();
+  if (!current.reported_by_worker || current.phase != status.phase) job.invalidate_view();
   const bool exited = status.phase == attempt_phase::exited;
   // A gang member that exits because the gang is incomplete is started again with the same attempt
   // number, so the exit may belong to the previous start. Only a worker that has received this
@@ -106,7 +106,7 @@
     const job_store::job& job, std::uint32_t task, const job_store::attempt& attempt) const {
   // The heartbeat comes from another incarnation than the one on which the attempt was placed.
   if (attempt.incarnation != heartbeat_.incarnation) return missing_attempt::no_action;
-  if (attempt.seen) return missing_attempt::left_the_heartbeat;
+  if (attempt.reported_by_worker) return missing_attempt::left_the_heartbeat;
   // An earlier leader placed the attempt. It may have found the attempt to be gone and reassigned
   // its resources before the loss was stored. Sending the start again has made a team exceed its
   // limit.
@@ -117,7 +117,8 @@
   if (attempt.stopping || job.status() != job_status::active) return missing_attempt::never_started;
   // The start was sent in the answer to an earlier heartbeat, but this newer one does not list the
   // attempt. The worker has not received that answer, and drops it if it still arrives.
-  const bool sent_before = attempt.sent_after != 0 && attempt.sent_after < heartbeat_.sequence;
+  const bool sent_before =
+      attempt.sent_in_reply_to != 0 && attempt.sent_in_reply_to < heartbeat_.sequence;
   if (sent_before && carries_current_token()) return missing_attempt::start_not_taken;
   // A start is sent only while the leader certainly holds its lease, and only once the attempt is
   // stored, because a successor has to know of it.
