--- a/src/admission/cycle_job.cpp
+++ b/src/admission/cycle_job.cpp
@@ -12,7 +12,7 @@
   if (view->spread) {
     const auto entry = tasks_per_zone.find(zone);
     const std::uint32_t tasks = entry == tasks_per_zone.end() ? 0 : entry->second;
-    const std::uint32_t largest_share = (view->total + 1) / 2;
+    const std::uint32_t largest_share = (view->total_tasks + 1) / 2;
     if (tasks + 1 > largest_share) return false;
   }
   return true;
--- a/src/admission/cycle_state.cpp
+++ b/src/admission/cycle_state.cpp
@@ -21,13 +21,13 @@
     const job_view& view = *shared_view;
     job_ids.insert(job_ids.end(), view.id);
     cycle_job job{&view, &variants.refresh(view, input), {}, {}, false};
-    const bool held_back = view.held_back || input.now < view.not_before;
-    if (!held_back) job.unplaced = view.waiting;
+    const bool placement_suspended = view.placement_suspended || input.now < view.not_before;
+    if (!placement_suspended) job.unplaced = view.waiting;
     add_placed_tasks(job);
     // A job on its way to a better pool waits as soon as its old place is given up.
     const bool leaves = std::any_of(view.placed.begin(), view.placed.end(),
-                                    [](const placed_view& task) { return task.stopping; });
-    if (!view.waiting.empty() || held_back || leaves) waiting_jobs.insert(view.id);
+                                    [](const placed_task_view& task) { return task.stopping; });
+    if (!view.waiting.empty() || placement_suspended || leaves) waiting_jobs.insert(view.id);
     jobs.push_back(std::move(job));
   }
   variants.forget_all_but(job_ids);
--- a/src/admission/placement_search.cpp
+++ b/src/admission/placement_search.cpp
@@ -10,7 +10,8 @@
   const auto& slot = capacity_.machine(machine);
   if (!slot.view->ready || !job.zone_allows(slot.view->pool.zone)) return false;
   if (slot.is_reserved() && !slot.is_reserved_for(job.view->id)) return false;
-  return job.view->avoid.empty() || job.view->avoid.count(slot.view->name) == 0;
+  return job.view->excluded_machines.empty() ||
+         job.view->excluded_machines.count(slot.view->name) == 0;
 }
 
 bool placement_search::fits(std::size_t machine, const cycle_job& job,
@@ -98,7 +99,7 @@
 }
 
 bool placement_search::is_unrestricted(const cycle_job& job) const {
-  return job.view->avoid.empty() && !job.view->spread && job.tasks_per_zone.empty() &&
+  return job.view->excluded_machines.empty() && !job.view->spread && job.tasks_per_zone.empty() &&
          reservations_.machines_of(job.view->id).empty();
 }
 
--- a/src/admission/pool_contention.cpp
+++ b/src/admission/pool_contention.cpp
@@ -14,7 +14,7 @@
 void pool_contention::note_refusals(const snapshot& input) {
   for (const auto& type : input.types) {
     for (const bool spot : {false, true}) {
-      if (refused_in_all_zones(type, spot, input.refused))
+      if (refused_in_all_zones(type, spot, input.refused_pools))
         full_until_[{type.name, spot}] = input.now + full_for_;
     }
   }
--- a/src/admission/scale_out.cpp
+++ b/src/admission/scale_out.cpp
@@ -48,7 +48,7 @@
     if (!variant.active || target.zone.empty() || !job.zone_allows(target.zone)) continue;
     std::size_t available = placement_.machines_with_room(job, target, tasks).size();
     available += planned_.count_candidates(target, job.view->need, tasks - available);
-    if (available < tasks && cycle_.input.refused.count(target) != 0) continue;
+    if (available < tasks && cycle_.input.refused_pools.count(target) != 0) continue;
     const zone_score score{available, -static_cast<std::int64_t>(machines_in(target))};
     if (best && score <= best_score) continue;
     best = target.zone;
@@ -65,7 +65,7 @@
     cycle_.capacity.allocate(machine, job.view->need);
     cycle_.quota.add_planned_task(*job.view);
     ++job.tasks_per_zone[cycle_.capacity.zone(machine)];
-    cycle_.result.awaited_machines.insert(cycle_.capacity.machine(machine).view->name);
+    cycle_.result.needed_machines.insert(cycle_.capacity.machine(machine).view->name);
     ++used;
   }
   return used;
@@ -107,7 +107,7 @@
   for (const auto& zone : type.zones) {
     if (!target.zone.empty() && target.zone != zone) continue;
     const pool candidate{type.name, zone, target.spot};
-    if (cycle_.input.refused.count(candidate) != 0 || !job.zone_allows(zone)) continue;
+    if (cycle_.input.refused_pools.count(candidate) != 0 || !job.zone_allows(zone)) continue;
     const std::uint32_t machines = machines_in(candidate);
     if (best && machines >= fewest) continue;
     best = candidate;
--- a/src/admission/scale_out.hpp
+++ b/src/admission/scale_out.hpp
@@ -12,10 +12,8 @@
 class scale_out_planner {
  public:
   scale_out_planner(cycle_state& cycle, placement_search& placement)
-      : cycle_(cycle),
-        placement_(placement),
-        planned_(cycle.quota, cycle.result.awaited_machines) {}
-  /// Writes `scale_out` and `awaited_machines` of the cycle's result.
+      : cycle_(cycle), placement_(placement), planned_(cycle.quota, cycle.result.needed_machines) {}
+  /// Writes `scale_out` and `needed_machines` of the cycle's result.
   void run();
 
  private:
--- a/src/admission/types.hpp
+++ b/src/admission/types.hpp
@@ -91,7 +91,7 @@
 };
 
 /// A task that holds a place on a machine until it is proven gone.
-struct placed_view {
+struct placed_task_view {
   std::uint32_t task = 0;
   machine_name machine;
   admission::pool pool;
@@ -108,7 +108,7 @@
   std::int64_t created_ms = 0;
   time_point created{};  // by the leader's clock
   bool gang = false;
-  std::uint32_t total = 0;         // tasks, those done included
+  std::uint32_t total_tasks = 0;   // tasks, those done included
   resources need;                  // of each task
   bool any_type = true;            // of machine; otherwise one of `types`
   std::vector<std::string> types;  // names of machine types
@@ -117,14 +117,14 @@
   bool spread = false;             // at most half of the tasks in each zone
   bool spot = false;               // may run on spot machines
   std::string image;
-  duration estimate{};                 // of a task's work
-  duration checkpoint{};               // between the checkpoints of a task; zero if it makes none
-  duration save{};                     // to save its work when it is stopped
-  std::vector<std::uint32_t> waiting;  // tasks to place now; a gang's: all of them or lost ones
-  std::vector<placed_view> placed;     // whatever is not proven gone
-  std::set<machine_name> avoid;        // machines it failed on
-  bool held_back = false;              // waits for an old attempt to go
-  time_point not_before{};             // backs off until then
+  duration estimate{};                   // of a task's work
+  duration checkpoint{};                 // between the checkpoints of a task; zero if it makes none
+  duration save{};                       // to save its work when it is stopped
+  std::vector<std::uint32_t> waiting;    // tasks to place now; a gang's: all of them or lost ones
+  std::vector<placed_task_view> placed;  // whatever is not proven gone
+  std::set<machine_name> excluded_machines;  // machines it failed on
+  bool placement_suspended = false;          // waits for an old attempt to go
+  time_point not_before{};                   // backs off until then
 };
 
 /// Quota of a team: its guarantee, and its limit (`…_max`). 0 in a field: no guarantee, no limit.
@@ -145,7 +145,7 @@
   std::vector<team_view> teams;
   std::vector<std::shared_ptr<const machine_view>> machines;
   std::vector<std::shared_ptr<const job_view>> jobs;
-  std::set<pool> refused;  // no capacity there lately
+  std::set<pool> refused_pools;  // no capacity there lately
 };
 
 /// A task is to be started on a machine.
@@ -169,7 +169,7 @@
   std::vector<start_decision> starts;
   std::vector<stop_decision> stops;
   std::map<pool, std::uint32_t> scale_out;  // machines missing, beyond those starting
-  std::set<machine_name> awaited_machines;  // machines some waiting job counts on
+  std::set<machine_name> needed_machines;   // machines some waiting job counts on
 };
 
 /// Settings of admission. All durations of a job count from its creation unless said otherwise.
--- a/src/admission/upgrades.cpp
+++ b/src/admission/upgrades.cpp
@@ -11,11 +11,11 @@
 bool upgrade_planner::is_eligible(const cycle_job& job) const {
   const job_view& view = *job.view;
   if (view.estimate < cycle_.rules.upgrade_min_remaining) return false;
-  if (!view.waiting.empty() || view.held_back || view.placed.empty()) return false;
+  if (!view.waiting.empty() || view.placement_suspended || view.placed.empty()) return false;
   if (cycle_.stopped_jobs.count(view.id) != 0 || view.checkpoint <= duration::zero()) return false;
   const bool all_running =
       std::all_of(view.placed.begin(), view.placed.end(),
-                  [](const placed_view& task) { return task.running && !task.stopping; });
+                  [](const placed_task_view& task) { return task.running && !task.stopping; });
   return all_running && !cycle_.quota.exceeds_guarantee(view.team);
 }
 
--- a/src/admission/victims.cpp
+++ b/src/admission/victims.cpp
@@ -18,7 +18,7 @@
 /// What stopping one task wastes. A task that has only just been placed is dear, though it has no
 /// progress to lose: its image was fetched for nothing, and jobs that were stopped before they
 /// could begin, time after time, once kept a full fleet busy with nothing but fetching.
-double task_cost(const job_view& job, const placed_view& task, time_point now) {
+double task_cost(const job_view& job, const placed_task_view& task, time_point now) {
   const double size = job.need.gpus > 0 ? job.need.gpus : job.need.cpus;
   const double restart = restart_seconds(job);
   if (!task.running) return (job.gang ? restart + just_begun_s : restart) * size;
--- a/src/leader/decision_applier.cpp
+++ b/src/leader/decision_applier.cpp
@@ -14,7 +14,7 @@
     : jobs_(jobs), workers_(workers), machines_(machines), metrics_(metrics), token_(token) {}
 
 void decision_applier::apply(const admission::decisions& decisions) {
-  expected_machines_ = decisions.awaited_machines;
+  expected_machines_ = decisions.needed_machines;
   start_tasks(decisions.starts);
   for (const auto& stop : decisions.stops) stop_tasks(stop);
   if (!decisions.scale_out.empty()) machines_.request_machines(decisions.scale_out);
--- a/src/leader/snapshot_builder.cpp
+++ b/src/leader/snapshot_builder.cpp
@@ -71,11 +71,11 @@
 
 /// Pools that the cloud refused lately, and those of zones that are cut off.
 void snapshot_builder::add_refused_pools(admission::snapshot& snapshot) const {
-  snapshot.refused = machines_.refused();
+  snapshot.refused_pools = machines_.refused();
   for (const auto& type : snapshot.types) {
     for (const auto& zone : type.zones) {
       if (!zones_.cut_off(zone)) continue;
-      for (const bool spot : {false, true}) snapshot.refused.insert({type.name, zone, spot});
+      for (const bool spot : {false, true}) snapshot.refused_pools.insert({type.name, zone, spot});
     }
   }
 }
@@ -90,9 +90,9 @@
     // A gang restarts once its old attempt is gone; before it has started, it takes replacements.
     const bool takes_replacements = !job.gang_started() && attempts.all_still_starting;
     if (job.spec().gang && !job.attempts().empty() && !view->waiting.empty() && !takes_replacements)
-      view->held_back = true;
+      view->placement_suspended = true;
   }
-  for (const auto& [machine, count] : job.errors()) view->avoid.insert(machine);
+  for (const auto& [machine, count] : job.errors()) view->excluded_machines.insert(machine);
   if (attempts.all_pools_known) job.cache_view(view);
   return view;
 }
@@ -108,7 +108,7 @@
   view.created =
       runtime_.now() - milliseconds(std::max<std::int64_t>(0, wall_ms - view.created_ms));
   view.gang = spec.gang;
-  view.total = spec.tasks;
+  view.total_tasks = spec.tasks;
   view.need = spec.need;
   view.any_type = spec.any_type;
   view.types = spec.types;
@@ -127,14 +127,14 @@
                                                                  admission::job_view& view) const {
   attempt_summary summary;
   for (const auto& [task, attempt] : job.attempts()) {
-    admission::placed_view placed;
+    admission::placed_task_view placed;
     placed.task = task;
     placed.machine = attempt.machine;
     placed.pool = pool_of(attempt.machine);
     // A machine nobody knows a zone of: nothing may be started beside its tasks.
     if (placed.pool.zone.empty()) {
       summary.all_pools_known = false;
-      if (job.spec().one_zone || job.spec().spread) view.held_back = true;
+      if (job.spec().one_zone || job.spec().spread) view.placement_suspended = true;
     }
     placed.running = attempt.phase == job_store::attempt_phase::running;
     placed.stopping = attempt.stopping;
--- a/tests/admission_cycle_test.cpp
+++ b/tests/admission_cycle_test.cpp
@@ -38,7 +38,7 @@
 TEST(cycle_job, a_spread_job_has_at_most_half_of_its_tasks_in_a_zone) {
   auto view = make_job("job");
   view.spread = true;
-  view.total = 3;
+  view.total_tasks = 3;
   admission::job_admission state;
   auto job = job_in_cycle(view, state);
   job.tasks_per_zone[zone_name("a")] = 1;
@@ -139,11 +139,11 @@
   const time_point now = fleet.snapshot.now;
   admission::pool_contention contention(seconds(45));
 
-  fleet.snapshot.refused = {admission_fleet::pool_in("a")};
+  fleet.snapshot.refused_pools = {admission_fleet::pool_in("a")};
   contention.note_refusals(fleet.snapshot);
   EXPECT_TRUE(contention.contested_by(jobs, now).empty()) << "the zone b can still grow";
 
-  fleet.snapshot.refused.insert(admission_fleet::pool_in("b"));
+  fleet.snapshot.refused_pools.insert(admission_fleet::pool_in("b"));
   contention.note_refusals(fleet.snapshot);
   const admission::contested_pools expected{{{"g8", false}, admission::priority::high}};
   EXPECT_EQ(contention.contested_by(jobs, now + seconds(44)), expected);
--- a/tests/decision_applier_test.cpp
+++ b/tests/decision_applier_test.cpp
@@ -84,7 +84,7 @@
 
 TEST_F(decision_applier_test, remembers_the_machines_that_jobs_count_on) {
   admission::decisions made;
-  made.awaited_machines = {"m-1"};
+  made.needed_machines = {"m-1"};
   decisions.apply(made);
   EXPECT_TRUE(decisions.is_expected("m-1"));
   EXPECT_FALSE(decisions.is_expected("m-2"));
--- a/tests/placement_search_test.cpp
+++ b/tests/placement_search_test.cpp
@@ -86,7 +86,7 @@
 
 TEST_F(placement_search_test, a_machine_that_the_job_failed_on_is_not_usable) {
   fleet.add_machine("failed_on");
-  view.avoid.insert(machine_name("failed_on"));
+  view.excluded_machines.insert(machine_name("failed_on"));
   index_machines();
   EXPECT_EQ(best_fit(), "");
   EXPECT_FALSE(search->is_unrestricted(job));
--- a/tests/scale_in_test.cpp
+++ b/tests/scale_in_test.cpp
@@ -27,7 +27,7 @@
 TEST_F(scale_in_test, a_machine_that_some_waiting_job_counts_on_stays) {
   hear("m-1");
   admission::decisions made;
-  made.awaited_machines = {"m-1"};
+  made.needed_machines = {"m-1"};
   decisions.apply(made);
   hear_for(seconds(70), {"m-1"});
   EXPECT_FALSE(released("m-1"));
--- a/tests/snapshot_builder_test.cpp
+++ b/tests/snapshot_builder_test.cpp
@@ -51,7 +51,7 @@
   auto& gang = add_job("run-1", 2, true);
   place_task(gang);
   gang.mark_stopping(0, seconds(2));
-  EXPECT_TRUE(view_of_job().held_back);
+  EXPECT_TRUE(view_of_job().placement_suspended);
 }
 
 TEST_F(snapshot_builder_test,
@@ -60,7 +60,7 @@
   spec.one_zone = true;
   auto& job = jobs.insert({spec, 0});
   place_first_attempt(job, 0, "unknown");
-  EXPECT_TRUE(view_of_job().held_back);
+  EXPECT_TRUE(view_of_job().placement_suspended);
 }
 
 TEST_F(snapshot_builder_test, shows_a_machine_that_goes_back_as_not_ready) {
@@ -74,7 +74,7 @@
 TEST_F(snapshot_builder_test, refuses_the_pools_of_a_zone_that_is_cut_off) {
   zones.update({"a"});
   const std::set<admission::pool> both{{"g8", "a", false}, {"g8", "a", true}};
-  EXPECT_EQ(snapshots.build().refused, both);
+  EXPECT_EQ(snapshots.build().refused_pools, both);
 }
 
 }  // namespace gingerdrift::testing
--- a/tests/support/admission_builders.hpp
+++ b/tests/support/admission_builders.hpp
@@ -45,7 +45,7 @@
 inline admission::job_view make_job(const std::string& id) {
   admission::job_view job;
   job.id = job_id(id);
-  job.total = 1;
+  job.total_tasks = 1;
   job.waiting = {0};
   job.need = {6, 1, 36};
   job.created = time_point(seconds(1000));
@@ -59,7 +59,7 @@
   auto gang = make_job(id);
   gang.gang = true;
   gang.one_zone = true;
-  gang.total = tasks;
+  gang.total_tasks = tasks;
   gang.need = admission_fleet::size();
   gang.created = created;
   gang.waiting.clear();
@@ -68,9 +68,9 @@
 }
 
 /// A task that is running since `since`.
-inline admission::placed_view make_running_task(std::uint32_t task, const std::string& machine,
-                                                time_point since) {
-  admission::placed_view placed;
+inline admission::placed_task_view make_running_task(std::uint32_t task, const std::string& machine,
+                                                     time_point since) {
+  admission::placed_task_view placed;
   placed.task = task;
   placed.machine = machine_name(machine);
   placed.pool = admission_fleet::pool_in("a");
--- a/tests/support/admission_trace.cpp
+++ b/tests/support/admission_trace.cpp
@@ -113,7 +113,7 @@
     }
     job.level = priority_named(line.text("priority"));
     job.gang = line.has("gang");
-    job.total = static_cast<std::uint32_t>(line.number("tasks", 1));
+    job.total_tasks = static_cast<std::uint32_t>(line.number("tasks", 1));
     job.need = amounts(line.text("need", "1,1,1"));
     job.one_zone = line.has("one_zone");
     job.spread = line.has("spread");
@@ -125,7 +125,7 @@
     job.save = seconds_of(line, "save", 3);
     job.created_ms = ++jobs_created_;
     job.created = snapshot_.now - seconds_of(line, "age", 0);
-    for (std::uint32_t task = 0; task < job.total; ++task) job.waiting.push_back(task);
+    for (std::uint32_t task = 0; task < job.total_tasks; ++task) job.waiting.push_back(task);
     jobs_.push_back(job);
   }
 
@@ -155,7 +155,7 @@
     std::erase_if(jobs_, [&](const job_view& job) { return job.id == job_id(line.words.at(1)); });
   }
 
-  void refuse_pool(const trace_line& line) { snapshot_.refused.insert(pool_in(line, 1)); }
+  void refuse_pool(const trace_line& line) { snapshot_.refused_pools.insert(pool_in(line, 1)); }
 
   /// cycle SECONDS
   void run_cycle(const trace_line& line) {
@@ -190,7 +190,7 @@
       if (std::find(stop.tasks.begin(), stop.tasks.end(), task.task) != stop.tasks.end())
         task.stopping = true;
     }
-    if (job.gang) job.held_back = false;
+    if (job.gang) job.placement_suspended = false;
   }
 
   void write_scale_out(const pool& target, std::uint32_t count) {
@@ -200,7 +200,7 @@
 
   void place(job_view& job, std::uint32_t task, const machine_name& name, duration ran) {
     auto& machine = find_machine(name);
-    placed_view placed;
+    placed_task_view placed;
     placed.task = task;
     placed.machine = name;
     placed.pool = machine.pool;
@@ -236,7 +236,7 @@
                      .teams = {},
                      .machines = {},
                      .jobs = {},
-                     .refused = {}};
+                     .refused_pools = {}};
   std::vector<job_view> jobs_;
   std::vector<machine_view> machines_;
   std::optional<scheduler> scheduler_;
