--- a/src/admission/capacity_index.cpp
+++ b/src/admission/capacity_index.cpp
@@ -17,7 +17,7 @@
     index_by_name_[view->name.str()] = machine;
     if (!view->ready) continue;
     groups_[group->second].machines.push_back(machine);
-    groups_[group->second].by_free_room.insert(free_room(machine));
+    groups_[group->second].by_free_capacity.insert(free_capacity(machine));
     for (const auto& image : view->images) machines_by_image_[image].push_back(machine);
   }
 }
@@ -46,16 +46,16 @@
 
 void capacity_index::change_free(std::size_t machine, const resources& change) {
   auto& slot = machines_[machine];
-  auto& order = groups_[slot.group].by_free_room;
+  auto& order = groups_[slot.group].by_free_capacity;
   const bool listed = is_listed(slot);
-  if (listed) order.erase(free_room(machine));
+  if (listed) order.erase(free_capacity(machine));
   slot.free += change;
-  if (listed) order.insert(free_room(machine));
+  if (listed) order.insert(free_capacity(machine));
 }
 
 void capacity_index::reserve(std::size_t machine, const job_id& job) {
   auto& slot = machines_[machine];
-  if (is_listed(slot)) groups_[slot.group].by_free_room.erase(free_room(machine));
+  if (is_listed(slot)) groups_[slot.group].by_free_capacity.erase(free_capacity(machine));
   slot.reserved_for = &job;
 }
 
--- a/src/admission/cycle_job.cpp
+++ b/src/admission/cycle_job.cpp
@@ -2,7 +2,7 @@
 
 namespace gingerdrift::admission {
 
-bool cycle_job::zone_allows(const zone_name& zone) const {
+bool cycle_job::allows_zone(const zone_name& zone) const {
   if (!view->zone.empty() && view->zone != zone) return false;
   if (view->one_zone) {
     for (const auto& [other_zone, tasks] : tasks_per_zone) {
--- a/src/admission/cycle_state.cpp
+++ b/src/admission/cycle_state.cpp
@@ -24,30 +24,35 @@
     const bool placement_suspended = view.placement_suspended || input.now < view.not_before;
     if (!placement_suspended) job.unplaced = view.waiting;
     add_placed_tasks(job);
-    // A job on its way to a better pool waits as soon as its old place is given up.
-    const bool leaves = std::any_of(view.placed.begin(), view.placed.end(),
-                                    [](const placed_task_view& task) { return task.stopping; });
-    if (!view.waiting.empty() || placement_suspended || leaves) waiting_jobs.insert(view.id);
+    // A job that is being upgraded has stopping tasks and none waiting. It counts as waiting
+    // already now, so that it keeps its reservations in the better pool.
+    const bool has_stopping_tasks =
+        std::any_of(view.placed.begin(), view.placed.end(),
+                    [](const placed_task_view& task) { return task.stopping; });
+    if (!view.waiting.empty() || placement_suspended || has_stopping_tasks)
+      waiting_jobs.insert(view.id);
     jobs.push_back(std::move(job));
   }
-  variants.forget_all_but(job_ids);
+  variants.retain_only(job_ids);
   reservations.restore(waiting_jobs);
 }
 
-/// Until a task is proven gone it holds its quota, its place and its zone.
+/// Counts the tasks that are not proven to have ended: until then, a task counts against the quota,
+/// occupies its machine and counts for the zone rules of its job.
 void cycle_state::add_placed_tasks(cycle_job& job) {
   const job_view& view = *job.view;
-  std::size_t staying = 0;
+  std::size_t not_stopping = 0;
   for (const auto& task : view.placed) {
     if (view.one_zone || view.spread) ++job.tasks_per_zone[task.pool.zone];
     if (!task.stopping) {
-      ++staying;
+      ++not_stopping;
       continue;
     }
     const auto machine = capacity.find(task.machine);
-    if (machine != capacity_index::no_machine) capacity.machine(machine).leaving += view.need;
+    if (machine != capacity_index::no_machine)
+      capacity.machine(machine).held_by_stopping_tasks += view.need;
   }
-  quota.add_placed(view, staying);
+  quota.add_placed(view, not_stopping);
 }
 
 std::vector<std::size_t> cycle_state::unplaced_jobs_in_order() const {
--- a/src/admission/cycle_state.hpp
+++ b/src/admission/cycle_state.hpp
@@ -7,17 +7,18 @@
 
 namespace gingerdrift::admission {
 
-/// What the phases of one scheduling cycle work on together: capacity, quota, reservations and
-/// jobs at their present state, and the decisions made so far. Lives on one thread, for one cycle.
+/// State that the phases of one scheduling cycle share: the current capacity, quota, reservations
+/// and jobs, and the decisions made so far. Used by one thread, for one cycle.
 struct cycle_state {
-  /// `variant_states` and `stored` are what a scheduler remembers between cycles; both, the
-  /// settings and the snapshot have to outlive the cycle.
+  /// `variant_states` and `stored` are the state that a scheduler keeps between cycles. All
+  /// arguments have to outlive the cycle.
   cycle_state(const policy& settings, const snapshot& snapshot_of_cycle,
               variant_table& variant_states, reservations_by_machine& stored);
   cycle_state(const cycle_state&) = delete;
   cycle_state& operator=(const cycle_state&) = delete;
 
-  /// Indices of the jobs that still have unplaced tasks and don't preempt, in the queues' order.
+  /// Returns the indices of the jobs that have unplaced tasks and don't wait for a preemption, in
+  /// queue order.
   std::vector<std::size_t> unplaced_jobs_in_order() const;
 
   const policy& rules;
@@ -27,7 +28,8 @@
   quota_ledger quota;
   cycle_reservations reservations;
   std::vector<cycle_job> jobs;
-  std::set<job_id> stopped_jobs;  // gangs preempted and jobs upgraded in this cycle
+  /// Gangs that were preempted and jobs that were upgraded in this cycle.
+  std::set<job_id> stopped_jobs;
   decisions result;
 
  private:
--- a/src/admission/failed_searches.hpp
+++ b/src/admission/failed_searches.hpp
@@ -4,35 +4,41 @@
 
 namespace gingerdrift::admission {
 
-/// What a search depends on if nothing else about the job narrows it.
+/// Inputs that determine the result of a search, unless other properties of the job restrict it
+/// further (see `placement_search::is_unrestricted`). Amounts are per task. The fields from `level`
+/// on apply only to searches for victims.
 struct search_key {
   pool target;
-  double cpus = 0;  // of each task, as all amounts here
+  double cpus = 0;
   double gpus = 0;
   double memory_gb = 0;
-  priority level = priority::low;  // of a search for victims, as all below
+  priority level = priority::low;
   std::size_t team = 0;
   bool guaranteed = false;
   auto operator<=>(const search_key&) const = default;
 };
 
-/// The key under which a search for capacity in that pool is remembered.
-inline search_key search_for(const cycle_job& job, const pool& target) {
+/// Returns the key of a search for capacity in a pool.
+inline search_key capacity_search_key(const cycle_job& job, const pool& target) {
   const auto& need = job.view->need;
   return {target, need.cpus, need.gpus, need.memory_gb, priority::low, 0, false};
 }
 
-/// Searches of one cycle that found nothing: room only shrinks, so that the same one, or one for
-/// more tasks, will find nothing either. Keeps a long queue of like jobs cheap.
+/// Remembers the searches of one scheduling cycle that found nothing. Since capacity only shrinks
+/// within a cycle, the same search, also for more tasks, would fail again. This keeps long queues
+/// of similar jobs cheap.
 class failed_searches {
  public:
+  /// Reports whether the search is known to fail for that many tasks.
   bool includes(const search_key& search, std::uint32_t tasks) const {
     const auto entry = fewest_tasks_.find(search);
     return entry != fewest_tasks_.end() && tasks >= entry->second;
   }
+  /// Records that the search failed for that many tasks.
   void add(const search_key& search, std::uint32_t tasks) { fewest_tasks_[search] = tasks; }
 
  private:
+  /// Smallest number of tasks for which each search failed.
   std::map<search_key, std::uint32_t> fewest_tasks_;
 };
 
--- a/src/admission/gang_reservation.hpp
+++ b/src/admission/gang_reservation.hpp
@@ -5,22 +5,22 @@
 
 namespace gingerdrift::admission {
 
-/// Reserves machines for gangs that wait long. A gang that needs many machines of one zone at once
-/// never finds them on a busy fleet: smaller jobs take each as it falls free. From
-/// `gang_reservation_delay` on, machines that are free for it are reserved, in one zone, until
-/// there are enough. Reserved machines idle, so that only a small share of a pool is reserved; but
-/// the first gang in the queues' order that has waited for three times the delay always gets
-/// reservations, however many it needs. Without that, four in ten of the largest gangs waited for
-/// more than four minutes on a full fleet.
+/// Reserves machines for gangs that have waited for a long time. On a busy fleet, a gang that needs
+/// many machines of one zone at the same time would never find them, because smaller jobs take each
+/// machine as soon as it becomes free. Once a gang has waited for `gang_reservation_delay`, free
+/// machines that it can use are reserved, in one zone, until there are enough. Since reserved
+/// machines are idle, only a small share of a pool may be reserved. The first gang in queue order
+/// that has waited for three times the delay is exempt from this limit: without the exemption, 40 %
+/// of the largest gangs waited for more than four minutes on a full fleet.
 class gang_reservation {
  public:
   gang_reservation(cycle_state& cycle, placement_search& placement)
       : cycle_(cycle), placement_(placement) {}
-  /// Reserves machines for all gangs that have waited long enough, in the queues' order.
+  /// Reserves machines for all gangs that have waited long enough, in queue order.
   void run();
 
  private:
-  bool is_due(const cycle_job& job) const;
+  bool is_eligible(const cycle_job& job) const;
   bool is_reserved(std::size_t machine) const {
     return cycle_.capacity.machine(machine).is_reserved();
   }
@@ -29,7 +29,8 @@
 
   cycle_state& cycle_;
   placement_search& placement_;
-  std::map<pool, std::size_t> reserved_by_pool_;  // for all waiting gangs
+  /// Number of reserved machines in each pool, for all jobs together.
+  std::map<pool, std::size_t> reserved_by_pool_;
 };
 
 }  // namespace gingerdrift::admission
--- a/src/admission/pool_contention.cpp
+++ b/src/admission/pool_contention.cpp
@@ -11,18 +11,18 @@
 }
 }  // namespace
 
-void pool_contention::note_refusals(const snapshot& input) {
+void pool_contention::record_refusals(const snapshot& input) {
   for (const auto& type : input.types) {
     for (const bool spot : {false, true}) {
       if (refused_in_all_zones(type, spot, input.refused_pools))
-        full_until_[{type.name, spot}] = input.now + full_for_;
+        exhausted_until_[{type.name, spot}] = input.now + exhausted_for_;
     }
   }
 }
 
-bool pool_contention::is_full(const pool_kind& kind, time_point now) const {
-  const auto entry = full_until_.find(kind);
-  return entry != full_until_.end() && now < entry->second;
+bool pool_contention::is_exhausted(const pool_kind& kind, time_point now) const {
+  const auto entry = exhausted_until_.find(kind);
+  return entry != exhausted_until_.end() && now < entry->second;
 }
 
 contested_pools pool_contention::contested_by(const std::vector<cycle_job>& jobs,
@@ -33,7 +33,7 @@
     for (const auto& variant : job.admission->variants) {
       if (variant.tier != 0) continue;
       const pool_kind kind{variant.target.type, variant.target.spot};
-      if (!is_full(kind, now)) continue;
+      if (!is_exhausted(kind, now)) continue;
       const auto entry = contested.try_emplace(kind, job.view->level).first;
       entry->second = std::min(entry->second, job.view->level);
     }
--- a/src/admission/preemption.hpp
+++ b/src/admission/preemption.hpp
@@ -10,38 +10,44 @@
 
 namespace gingerdrift::admission {
 
-/// Makes room for a job's variant by stopping other work: of a lower priority, or borrowed from the
-/// guarantee of the job's team. The room stays reserved for the job until the victims are gone.
+/// Makes capacity for a variant of a job by stopping other tasks: those of a lower priority or, for
+/// a gang within the guarantee of its team, those on capacity that other teams use beyond their
+/// guarantees. The capacity stays reserved for the job until the victims have ended.
 class preemption {
  public:
   preemption(cycle_state& cycle, placement_search& placement)
       : cycle_(cycle), placement_(placement) {}
 
-  /// Tells whether room was cleared, in this cycle or an earlier one, that the job now waits for.
+  /// Tries to preempt other tasks for a variant. Returns true if the job now waits for victims, of
+  /// this cycle or of an earlier one, to end.
   bool try_preempt(cycle_job& job, const variant& candidate);
 
  private:
-  /// What one preemption stops, as it is chosen machine by machine.
+  /// Victims of one preemption, collected machine by machine.
   struct preemption_plan {
-    std::vector<resources> projected;  // usage by team, once the victims are gone
+    /// Usage of each team once the victims have ended.
+    std::vector<resources> projected;
+    /// Machines on which the preempting job will get capacity.
     std::set<std::size_t> machines;
     std::vector<victim> victims;
-    std::set<std::size_t> stopping_gangs;  // jobs among the victims, by index
-    std::uint32_t tasks = 0;               // that there will be room for
+    /// Indices of the gangs among the victims.
+    std::set<std::size_t> stopping_gangs;
+    /// Number of tasks that will fit on `machines`.
+    std::uint32_t tasks = 0;
   };
-  /// A machine and what its cheapest victims cost; ordered by cost.
+  /// A machine and the cost of its cheapest victims. Ordered by cost.
   struct machine_cost {
     double cost;
     std::size_t machine;
     auto operator<=>(const machine_cost&) const = default;
   };
 
-  bool may_search(const cycle_job& job, bool guaranteed) const;
+  bool can_have_victims(const cycle_job& job, bool guaranteed) const;
   bool await_earlier_victims(cycle_job& job, const variant& candidate);
   std::optional<std::vector<std::size_t>> machines_of_earlier_victims(const cycle_job& job,
                                                                       const pool& target);
-  bool preempt_for_limit(cycle_job& job, const variant& candidate);
-  std::vector<victim> lower_priority_work_of_team(const job_view& job) const;
+  bool preempt_for_team_limit(cycle_job& job, const variant& candidate);
+  std::vector<victim> lower_priority_victims_of_team(const job_view& job) const;
   bool preempt_for_capacity(cycle_job& job, const variant& candidate, bool guaranteed);
   std::deque<std::size_t> cheapest_machines(const cycle_job& job, const pool& target,
                                             const victim_selector& selector);
@@ -52,15 +58,15 @@
   void prefer_machines_of_gang(const job_view& gang, const cycle_job& job, const pool& target,
                                std::deque<std::size_t>& queue);
   void stop(const victim& victim, const job_view& beneficiary);
-  void mark_leaving(const placed_task& task);
+  void mark_stopping(const placed_task& task);
   std::vector<std::uint32_t> tasks_of(const victim& victim) const;
-  void note_preempting(cycle_job& job, const variant& candidate) const;
+  void mark_preempting(cycle_job& job, const variant& candidate) const;
 
   cycle_state& cycle_;
   placement_search& placement_;
-  running_tasks running_;
-  failed_searches no_victims_;
-  std::uint32_t searches_ = 0;
+  placed_task_index placed_tasks_;
+  failed_searches failed_victim_searches_;
+  std::uint32_t victim_searches_ = 0;
 };
 
 }  // namespace gingerdrift::admission
--- a/src/admission/quota_ledger.cpp
+++ b/src/admission/quota_ledger.cpp
@@ -3,16 +3,16 @@
 namespace gingerdrift::admission {
 
 namespace {
-/// A bound of 0 is none.
+/// Reports whether the usage is within the given amounts; an amount of 0 means no bound.
 bool within(const resources& usage, double cpus, double gpus) {
   return (cpus <= 0 || usage.cpus <= cpus + amount_tolerance) &&
          (gpus <= 0 || usage.gpus <= gpus + amount_tolerance);
 }
 }  // namespace
 
-void quota_ledger::add_placed(const job_view& job, std::size_t staying) {
+void quota_ledger::add_placed(const job_view& job, std::size_t not_stopping) {
   occupied_[job.team] += job.need.times(static_cast<double>(job.placed.size()));
-  projected_[job.team] += job.need.times(static_cast<double>(staying));
+  projected_[job.team] += job.need.times(static_cast<double>(not_stopping));
 }
 
 void quota_ledger::add_started_task(const job_view& job) {
--- a/src/admission/reservations.hpp
+++ b/src/admission/reservations.hpp
@@ -4,30 +4,32 @@
 
 namespace gingerdrift::admission {
 
-/// A machine is kept free for a job, from one cycle to the next.
+/// Reservation of a machine for a job, kept between scheduling cycles.
 struct reservation {
   job_id job;
   time_point until;
 };
 using reservations_by_machine = std::map<machine_name, reservation>;
 
-/// The reservations of one scheduling cycle: the stored ones that still hold, and those it adds.
-/// Writes each change to `stored`, which the next cycle begins with.
+/// The reservations of one scheduling cycle: the stored ones that are still valid, and those added
+/// in the cycle. Writes each change to `stored`, from which the next cycle restores them.
 class cycle_reservations {
  public:
-  /// `ttl` is how long a reservation lasts unless a later cycle renews it.
+  /// `ttl` is the time after which a reservation expires unless a later cycle renews it.
   cycle_reservations(reservations_by_machine& stored, capacity_index& capacity, time_point now,
                      duration ttl)
       : stored_(stored), capacity_(capacity), now_(now), ttl_(ttl) {}
 
-  /// Drops what has run out, is for no waiting job, or on a machine that is gone; marks the rest.
+  /// Drops the stored reservations that have expired, whose job doesn't wait or whose machine no
+  /// longer exists, and reserves the machines of the others in the capacity index.
   void restore(const std::set<job_id>& waiting_jobs);
-  /// Reserves a machine or renews its reservation. `job` has to live as long as the cycle.
+  /// Reserves a machine or renews its reservation. `job` has to outlive the cycle.
   void reserve(std::size_t machine, const job_id& job);
 
-  /// Machines reserved for a job, in the order of their reservation.
+  /// Returns the machines reserved for a job: first the restored ones by name, then those reserved
+  /// in this cycle in the order of their reservation.
   const std::vector<std::size_t>& machines_of(const job_id& job) const;
-  /// How many machines of each pool are reserved, for whichever job.
+  /// Returns the number of reserved machines in each pool, for all jobs together.
   std::map<pool, std::size_t> count_by_pool() const;
 
  private:
--- a/src/admission/scale_out.cpp
+++ b/src/admission/scale_out.cpp
@@ -22,7 +22,8 @@
     if (variant.active && (!zone || variant.target.zone == *zone)) eligible.push_back(&variant);
   }
   if (job.view->gang) {
-    // Free machines too few for it today are part of its room once the rest has come up.
+    // Free machines that are too few for the gang now will be part of its capacity once the missing
+    // machines are up.
     for (const auto* variant : eligible) tasks -= use_free_machines(job, variant->target, tasks);
   }
   for (const auto* variant : eligible) {
@@ -30,7 +31,7 @@
     tasks -= planned_.pack(job, variant->target, tasks);
   }
   const bool lower_pools_may_grow =
-      cycle_.input.now - job.admission->created >= cycle_.rules.lower_pool_scale_out_delay;
+      cycle_.input.now - job.admission->delay_start >= cycle_.rules.lower_pool_scale_out_delay;
   for (const auto* variant : eligible) {
     if (tasks == 0) break;
     if (variant->tier == 0 || lower_pools_may_grow)
@@ -38,15 +39,15 @@
   }
 }
 
-/// A gang bound to one zone asks where most of what it needs is there or on its way: renting the
-/// rest elsewhere would leave both halves idle.
+/// Returns the zone in which the most machines that the gang needs are free or starting: if the
+/// missing machines were rented in another zone, the gang could use neither group of machines.
 std::optional<zone_name> scale_out_planner::best_zone(const cycle_job& job, std::size_t tasks) {
   std::optional<zone_name> best;
   zone_score best_score;
   for (const auto& variant : job.admission->variants) {
     const pool& target = variant.target;
-    if (!variant.active || target.zone.empty() || !job.zone_allows(target.zone)) continue;
-    std::size_t available = placement_.machines_with_room(job, target, tasks).size();
+    if (!variant.active || target.zone.empty() || !job.allows_zone(target.zone)) continue;
+    std::size_t available = placement_.machines_with_capacity(job, target, tasks).size();
     available += planned_.count_candidates(target, job.view->need, tasks - available);
     if (available < tasks && cycle_.input.refused_pools.count(target) != 0) continue;
     const zone_score score{available, -static_cast<std::int64_t>(machines_in(target))};
@@ -60,7 +61,7 @@
 std::uint32_t scale_out_planner::use_free_machines(cycle_job& job, const pool& target,
                                                    std::uint32_t tasks) {
   std::uint32_t used = 0;
-  for (const auto machine : placement_.machines_with_room(job, target, tasks)) {
+  for (const auto machine : placement_.machines_with_capacity(job, target, tasks)) {
     if (used == tasks || !cycle_.quota.limit_allows(*job.view, 1)) break;
     cycle_.capacity.allocate(machine, job.view->need);
     cycle_.quota.add_planned_task(*job.view);
@@ -80,7 +81,8 @@
   return packed;
 }
 
-/// Rents machines of one type until the tasks are packed. Returns how many were.
+/// Adds machines of one type to rent until all tasks are packed or no more machines can be added.
+/// Returns the number of packed tasks.
 std::uint32_t scale_out_planner::pack_new_machines(cycle_job& job, const pool& target,
                                                    const machine_type& type, std::uint32_t tasks) {
   std::uint32_t packed = 0;
@@ -97,8 +99,9 @@
   return packed;
 }
 
-/// Where a variant's next machine is rented: the allowed zone with the fewest machines of its kind,
-/// so that the loss of a zone takes no more than its share.
+/// Returns the pool in which to rent the next machine for a variant: the one in the allowed zone
+/// with the fewest machines of this kind, so that the failure of a zone affects no more than its
+/// share.
 std::optional<pool> scale_out_planner::pool_with_fewest_machines(const machine_type& type,
                                                                  const pool& target,
                                                                  const cycle_job& job) const {
@@ -107,7 +110,7 @@
   for (const auto& zone : type.zones) {
     if (!target.zone.empty() && target.zone != zone) continue;
     const pool candidate{type.name, zone, target.spot};
-    if (cycle_.input.refused_pools.count(candidate) != 0 || !job.zone_allows(zone)) continue;
+    if (cycle_.input.refused_pools.count(candidate) != 0 || !job.allows_zone(zone)) continue;
     const std::uint32_t machines = machines_in(candidate);
     if (best && machines >= fewest) continue;
     best = candidate;
--- a/src/admission/scale_out.hpp
+++ b/src/admission/scale_out.hpp
@@ -6,21 +6,24 @@
 
 namespace gingerdrift::admission {
 
-/// Finds how many machines are missing: what still waits is packed on machines that are starting,
-/// then on machines to rent, in the best pool of each job that was not refused lately. Last phase
-/// of a cycle that changes its state: it counts planned tasks as if they were placed.
+/// Determines how many machines to rent. Tasks that are still unplaced are packed on machines that
+/// are starting, then on machines to rent, in the best pool of each job for which the cloud didn't
+/// refuse machines recently. Has to be the last phase of a cycle that changes the shared state,
+/// because it counts planned tasks as if they were placed.
 class scale_out_planner {
  public:
   scale_out_planner(cycle_state& cycle, placement_search& placement)
       : cycle_(cycle), placement_(placement), planned_(cycle.quota, cycle.result.needed_machines) {}
-  /// Writes `scale_out` and `needed_machines` of the cycle's result.
+  /// Writes `scale_out` and `needed_machines` of `cycle_state::result`.
   void run();
 
  private:
-  /// What a zone offers to a gang bound to one zone; the best one is the greatest.
+  /// Score of a zone for a gang that is bound to one zone; the highest score is the best.
   struct zone_score {
-    std::size_t machines_available = 0;  // with room, or on their way
-    std::int64_t negated_machines = 0;   // of the kind there: fewer are better
+    /// Number of machines that are starting or have free capacity for a task of the gang.
+    std::size_t machines_available = 0;
+    /// Negated number of all machines of the pool, so that fewer machines score higher.
+    std::int64_t negated_machines = 0;
     auto operator<=>(const zone_score&) const = default;
   };
   void plan(cycle_job& job);
@@ -36,7 +39,8 @@
   cycle_state& cycle_;
   placement_search& placement_;
   planned_machines planned_;
-  std::map<pool, std::uint32_t> machines_by_pool_;  // those to be rented included
+  /// Number of machines in each pool, including those to rent.
+  std::map<pool, std::uint32_t> machines_by_pool_;
 };
 
 }  // namespace gingerdrift::admission
--- a/src/admission/scheduler.cpp
+++ b/src/admission/scheduler.cpp
@@ -18,7 +18,7 @@
   variant_competition(cycle, placement, preemptor).run();
   upgrade_planner(cycle, placement).run();
   scale_out_planner(cycle, placement).run();
-  contention_.note_refusals(input);
+  contention_.record_refusals(input);
   variants_.set_contested(contention_.contested_by(cycle.jobs, input.now));
   return std::move(cycle.result);
 }
--- a/src/admission/scheduler.hpp
+++ b/src/admission/scheduler.hpp
@@ -6,13 +6,14 @@
 
 namespace gingerdrift::admission {
 
-/// Runs scheduling cycles: a snapshot and its `now` in, decisions out, no side effects. Between
-/// cycles it remembers variants, reservations and full pools. May run on any one thread at a time.
+/// Runs scheduling cycles. A cycle computes decisions from a snapshot, including its time, and has
+/// no side effects outside the scheduler. Between cycles, the scheduler keeps variants,
+/// reservations and exhausted pools. May be used from any thread, but only from one at a time.
 class scheduler {
  public:
   explicit scheduler(const policy& rules)
       : rules_(rules), variants_(rules), contention_(rules.contested_pool_delay) {}
-  /// Runs one scheduling cycle: returns what it decides, and keeps what the next one needs.
+  /// Runs one scheduling cycle. Returns its decisions and keeps the state for the next cycle.
   decisions run_cycle(const snapshot& input);
 
  private:
--- a/src/admission/upgrades.cpp
+++ b/src/admission/upgrades.cpp
@@ -32,19 +32,20 @@
   }
 }
 
-/// Those in another kind of pool that have enough left to run.
+/// Returns the tasks that run in another kind of pool and have enough run time left.
 std::vector<std::uint32_t> upgrade_planner::tasks_to_move(const job_view& job,
                                                           const pool& target) const {
   std::vector<std::uint32_t> tasks;
   for (const auto& task : job.placed) {
     const duration left = job.estimate - (cycle_.input.now - task.running_since);
-    if (task.pool.same_kind(target) || left < cycle_.rules.upgrade_min_remaining) continue;
+    if (task.pool.is_same_kind_as(target) || left < cycle_.rules.upgrade_min_remaining) continue;
     tasks.push_back(task.task);
   }
   return tasks;
 }
 
-/// Eviction comes first: the old place is given up, the new one only kept free.
+/// Reserves the machines on which the tasks will restart; the tasks keep their current machines
+/// until they have stopped. Returns false and reserves nothing if there are too few machines.
 bool upgrade_planner::reserve_machines(const cycle_job& job, const pool& target,
                                        std::size_t count) {
   cycle_job moved_job = job;
--- a/src/admission/upgrades.hpp
+++ b/src/admission/upgrades.hpp
@@ -5,14 +5,15 @@
 
 namespace gingerdrift::admission {
 
-/// Moves running jobs to a better pool, by eviction: only into room that is free, never by
-/// preempting or borrowing, and only when the owner expects enough still to run: the deletion delay
-/// counts from admission and alone would let it kill work that is nearly done.
+/// Moves running jobs to a better pool by stopping them there and restarting them. Uses only free
+/// capacity: an upgrade never preempts other jobs or borrows quota. Requires that, by the estimate
+/// of the owner, enough run time remains: the variant deletion delay alone counts from admission
+/// and would allow upgrades that stop tasks shortly before they end.
 class upgrade_planner {
  public:
   upgrade_planner(cycle_state& cycle, placement_search& placement)
       : cycle_(cycle), placement_(placement) {}
-  /// Decides the upgrades of the cycle: stops in `cycle_state::result`, with machines reserved.
+  /// Decides the upgrades of the cycle: adds stops to `cycle_state::result` and reserves machines.
   void run();
 
  private:
--- a/src/admission/variant_competition.cpp
+++ b/src/admission/variant_competition.cpp
@@ -23,7 +23,7 @@
   return queues;
 }
 
-/// The first variant of each team whose job still has unplaced tasks.
+/// Removes from each queue the first variant whose job still has unplaced tasks, and returns these.
 std::vector<variant_competition::queue_entry> variant_competition::pop_heads(
     std::vector<team_queue>& queues) const {
   std::vector<queue_entry> heads;
@@ -59,11 +59,13 @@
 void variant_competition::try_variant(cycle_job& job, const variant& candidate) {
   if (job.unplaced.empty() || job.awaits_preemption) return;
   if (admit(job, candidate.target)) return;
-  // Pools of one tier are alike: all of them are tried for free room before any is cleared.
+  // The pools of one tier are equally good: free capacity is sought in all of them before tasks are
+  // preempted in any.
   const auto& variants = job.admission->variants;
   const bool last_of_tier =
       candidate.rank + 1 == variants.size() || variants[candidate.rank + 1].tier != candidate.tier;
-  // The higher variant wins even by preempting: lower ones wait for its outcome.
+  // A higher variant takes precedence even if it has to preempt: the lower ones wait for its
+  // result.
   if (last_of_tier && preempt_in_tier(job, candidate.tier)) job.awaits_preemption = true;
 }
 
@@ -75,16 +77,17 @@
   return false;
 }
 
-/// A gang is placed whole or not at all; of an array, as many tasks as there is room for. What
-/// remains of an array goes on competing as if it were the job. Tells whether nothing remains.
+/// Places all tasks of a gang or none, and as many tasks of an array as fit. The remaining tasks of
+/// an array keep competing as if they were the whole job. Reports whether all tasks were placed.
 bool variant_competition::admit(cycle_job& job, const pool& target) {
   const auto tasks = job.tasks_at_once();
   if (!cycle_.quota.limit_allows(*job.view, tasks)) return false;
   const bool unrestricted = placement_.is_unrestricted(job);
-  const auto search = search_for(job, target);
-  if (unrestricted && no_capacity_.includes(search, tasks)) return false;
+  const auto search = capacity_search_key(job, target);
+  if (unrestricted && failed_capacity_searches_.includes(search, tasks)) return false;
   const auto outcome = job.view->gang ? place_gang(job, target) : place_array(job, target);
-  if (unrestricted && outcome == placement_outcome::no_capacity) no_capacity_.add(search, tasks);
+  if (unrestricted && outcome == placement_outcome::no_capacity)
+    failed_capacity_searches_.add(search, tasks);
   return outcome == placement_outcome::complete;
 }
 
@@ -134,18 +137,19 @@
   return outcome;
 }
 
-/// The machine used last is now the fullest of its kind: the best one for as long as a task fits.
+/// Returns the machine for the next task. The machine of the previous task is now the fullest one
+/// of its kind and therefore the best choice for as long as another task fits on it.
 std::size_t variant_competition::next_machine(const cycle_job& job, const pool& target,
                                               std::size_t last) {
   const bool last_fits = last != capacity_index::no_machine &&
                          job.view->need.fits_in(cycle_.capacity.machine(last).free) &&
-                         job.zone_allows(cycle_.capacity.zone(last));
+                         job.allows_zone(cycle_.capacity.zone(last));
   return last_fits ? last : placement_.best_fit(job, target);
 }
 
 void variant_competition::start(cycle_job& job, std::size_t machine, std::uint32_t task) {
   cycle_.quota.add_started_task(*job.view);
-  if (!job.admission->admitted) job.admission->admitted = cycle_.input.now;
+  if (!job.admission->admitted_at) job.admission->admitted_at = cycle_.input.now;
   cycle_.result.starts.push_back({job.view->id, task, cycle_.capacity.machine(machine).view->name});
 }
 
--- a/src/admission/variant_competition.hpp
+++ b/src/admission/variant_competition.hpp
@@ -9,29 +9,31 @@
 
 namespace gingerdrift::admission {
 
-/// The variants of all waiting jobs compete for capacity: each team has a queue of them, ordered by
-/// priority, age and rank; one variant per team is tried at a time and tries only its pool.
+/// Lets the variants of all waiting jobs compete for capacity. Each team has a queue of variants,
+/// ordered by priority, age and rank. In each round, the first variant of each team is tried, and
+/// only in its own pool.
 class variant_competition {
  public:
   variant_competition(cycle_state& cycle, placement_search& placement, preemption& preemptor)
       : cycle_(cycle), placement_(placement), preemption_(preemptor) {}
 
-  /// Runs until no queue holds a variant of a job with unplaced tasks.
+  /// Runs rounds until no queue contains a variant of a job with unplaced tasks.
   void run();
 
  private:
-  /// A variant of a job, both by index.
+  /// A variant of a job; both are identified by their index.
   struct queue_entry {
     std::size_t job;
     std::size_t variant;
   };
-  /// Order of a heap: the variant that comes later is less.
+  /// Comparison for the heap of a queue: the variant that is tried later compares as less.
   struct comes_later {
     const std::vector<cycle_job>* jobs;
     bool operator()(const queue_entry& left, const queue_entry& right) const;
   };
   using team_queue = std::priority_queue<queue_entry, std::vector<queue_entry>, comes_later>;
-  /// Order among the heads of the queues: work inside a guarantee goes first.
+  /// Order in which the first variants of all queues are tried: first those whose tasks are within
+  /// the guarantee of their team, then by priority and age.
   struct head_order {
     bool beyond_guarantee;
     int negated_priority;
@@ -54,7 +56,7 @@
   cycle_state& cycle_;
   placement_search& placement_;
   preemption& preemption_;
-  failed_searches no_capacity_;
+  failed_searches failed_capacity_searches_;
 };
 
 }  // namespace gingerdrift::admission
--- a/src/admission/variants.cpp
+++ b/src/admission/variants.cpp
@@ -6,15 +6,16 @@
 
 namespace {
 
-/// A pool that a job may use, with what it is ordered by.
-struct candidate {
-  std::uint32_t kind_order;  // spot and ordinary pools, in the order of the settings
+/// A pool that a job may use, and its sort keys.
+struct pool_candidate {
+  /// 0 for the kind that the settings prefer (spot or on-demand), 1 for the other.
+  std::uint32_t kind_order;
   double price;
   std::size_t zone_order;
   pool target;
 };
 
-bool is_better(const candidate& left, const candidate& right) {
+bool is_better(const pool_candidate& left, const pool_candidate& right) {
   return std::tie(left.kind_order, left.price, left.target.type, left.zone_order) <
          std::tie(right.kind_order, right.price, right.target.type, right.zone_order);
 }
@@ -24,15 +25,17 @@
   return (job.any_type || is_named) && job.need.fits_in(type.size);
 }
 
-/// Adds a candidate for each zone that the job allows, or one for all of them.
-void add_zones(const job_view& job, const machine_type& type, candidate kind,
-               std::vector<candidate>& candidates) {
+/// Adds a candidate for each zone that the job may use, or one candidate without a zone if the job
+/// isn't bound to one zone.
+void add_zones(const job_view& job, const machine_type& type, pool_candidate kind,
+               std::vector<pool_candidate>& candidates) {
   const bool spans_zones = !job.one_zone && job.zone.empty();
   if (spans_zones) {
     candidates.push_back(std::move(kind));
     return;
   }
-  // Zones are alike; each job starts its round elsewhere, so that they fill evenly.
+  // Zones are equally good. Each job orders them from a different first zone, so that they fill
+  // evenly.
   const std::size_t first_zone = std::hash<job_id>{}(job.id);
   for (std::size_t i = 0; i < type.zones.size(); ++i) {
     if (!job.zone.empty() && job.zone != type.zones[i]) continue;
@@ -42,12 +45,13 @@
   }
 }
 
-std::vector<candidate> eligible_pools(const job_view& job, const snapshot& input, bool spot_first) {
-  std::vector<candidate> candidates;
+std::vector<pool_candidate> eligible_pools(const job_view& job, const snapshot& input,
+                                           bool spot_first) {
+  std::vector<pool_candidate> candidates;
   for (const auto& type : input.types) {
     if (!accepts_type(job, type)) continue;
     for (const bool spot : {false, true}) {
-      // Only restart-tolerant jobs get the pools that may be taken away at any time.
+      // Spot machines may be reclaimed at any time: only jobs that tolerate restarts use them.
       if (spot && !job.spot) continue;
       const std::uint32_t kind_order = spot == spot_first ? 0 : 1;
       const double price = spot ? type.spot_price : type.price;
@@ -58,21 +62,21 @@
   return candidates;
 }
 
-/// The lowest tier that a task of the job runs in.
-std::uint32_t lowest_running_tier(const job_admission& state, const job_view& job) {
-  std::uint32_t lowest = 0;
+/// Returns the worst tier (the one with the highest number) of all placed tasks of the job.
+std::uint32_t worst_running_tier(const job_admission& state, const job_view& job) {
+  std::uint32_t worst = 0;
   for (const auto& task : job.placed) {
     for (const auto& variant : state.variants) {
-      if (variant.target.same_kind(task.pool)) lowest = std::max(lowest, variant.tier);
+      if (variant.target.is_same_kind_as(task.pool)) worst = std::max(worst, variant.tier);
     }
   }
-  return lowest;
+  return worst;
 }
 
 }  // namespace
 
 std::vector<variant> variant_table::create(const job_view& job, const snapshot& input) const {
-  const std::vector<candidate> candidates = eligible_pools(job, input, rules_.spot_first);
+  const std::vector<pool_candidate> candidates = eligible_pools(job, input, rules_.spot_first);
   std::vector<variant> variants;
   std::uint32_t tier = 0;
   for (std::size_t i = 0; i < candidates.size(); ++i) {
@@ -84,12 +88,11 @@
   return variants;
 }
 
-void variant_table::update_countdowns(job_admission& state, const job_view& job,
-                                      time_point now) const {
+void variant_table::update_timers(job_admission& state, const job_view& job, time_point now) const {
   if (job.placed.empty()) {
-    state.admitted.reset();
-  } else if (!state.admitted) {
-    state.admitted = now;
+    state.admitted_at.reset();
+  } else if (!state.admitted_at) {
+    state.admitted_at = now;
   }
   if (state.preempting_rank && (now >= state.preempting_until || job.waiting.empty()))
     state.preempting_rank.reset();
@@ -97,14 +100,15 @@
 
 bool variant_table::may_upgrade(const job_admission& state, const job_view& job,
                                 time_point now) const {
-  return job.waiting.empty() && state.admitted &&
-         now - *state.admitted < rules_.variant_deletion_delay &&
+  return job.waiting.empty() && state.admitted_at &&
+         now - *state.admitted_at < rules_.variant_deletion_delay &&
          job.estimate >= rules_.upgrade_min_remaining;
 }
 
-/// Tasks of arrays slip into every gap of a lower pool, and gangs that have no other pool would
-/// find no whole machine there: their queue makes the lower variants wait longer. Jobs of a higher
-/// priority need no such help: they may preempt.
+/// Returns the delay after which a lower variant is created. The delay is longer for a contested
+/// pool: tasks of arrays would fill every gap there, so that gangs that can use no other pool would
+/// not find whole machines. If all jobs that wait for the pool have a higher priority than this
+/// job, the delay stays short, because they may preempt it.
 duration variant_table::creation_delay(const variant& candidate, const job_view& job) const {
   const auto queue = contested_.find({candidate.target.type, candidate.target.spot});
   const bool is_contested = queue != contested_.end() && queue->second <= job.level;
@@ -116,17 +120,17 @@
   auto [entry, is_new] = jobs_.try_emplace(job.id);
   job_admission& state = entry->second;
   if (is_new) {
-    state.created = job.created;
+    state.delay_start = job.created;
     state.variants = create(job, input);
   }
-  update_countdowns(state, job, input.now);
+  update_timers(state, job, input.now);
 
   const bool upgradable = may_upgrade(state, job, input.now);
-  // While nothing waits, only variants better than what runs stay, for an upgrade.
-  const std::uint32_t running_tier = upgradable ? lowest_running_tier(state, job) : 0;
+  // While no task waits, only the variants better than those in use stay active, for an upgrade.
+  const std::uint32_t running_tier = upgradable ? worst_running_tier(state, job) : 0;
   for (auto& variant : state.variants) {
     const bool is_created =
-        variant.tier == 0 || input.now - state.created >= creation_delay(variant, job);
+        variant.tier == 0 || input.now - state.delay_start >= creation_delay(variant, job);
     const bool is_wanted = !job.waiting.empty() || (upgradable && variant.tier < running_tier);
     variant.active = is_created && is_wanted;
   }
@@ -136,12 +140,12 @@
 void variant_table::reset(const job_id& job, time_point now) {
   const auto entry = jobs_.find(job);
   if (entry == jobs_.end()) return;
-  entry->second.created = now;
-  entry->second.admitted.reset();
+  entry->second.delay_start = now;
+  entry->second.admitted_at.reset();
   entry->second.preempting_rank.reset();
 }
 
-void variant_table::forget_all_but(const std::set<job_id>& jobs) {
+void variant_table::retain_only(const std::set<job_id>& jobs) {
   std::erase_if(jobs_, [&](const auto& entry) { return jobs.count(entry.first) == 0; });
 }
 
--- a/src/admission/variants.hpp
+++ b/src/admission/variants.hpp
@@ -6,47 +6,58 @@
 
 namespace gingerdrift::admission {
 
-/// One attempt of a job to be admitted to one pool.
+/// An option of a job to be admitted to one of the pools that it may use.
 struct variant {
   pool target;
-  std::uint32_t rank = 0;  // order among the variants of a job, the best first
-  std::uint32_t tier = 0;  // pools of one tier are alike: no upgrades among them
+  /// Position among the variants of a job, the best first.
+  std::uint32_t rank = 0;
+  /// Group of equally good pools, which differ only in their zone; 0 is the best. There are no
+  /// upgrades within a tier.
+  std::uint32_t tier = 0;
+  /// The variant currently takes part in scheduling.
   bool active = false;
 };
 
-/// Admission state of a job: its variants, best first, and their countdowns.
+/// Admission state of a job: its variants, the best first, and the times that control them.
 struct job_admission {
   std::vector<variant> variants;
-  time_point created;                  // the creation delays count from here
-  std::optional<time_point> admitted;  // the deletion delay counts from here
-  /// Rank of the one variant that may preempt: at most one of a job does at a time.
+  /// Start of the delays of variant creation, scale-out and gang reservation: the creation of the
+  /// job, or its last preemption.
+  time_point delay_start;
+  /// Start of the deletion delay: the time when the job was admitted; empty while no task is
+  /// placed.
+  std::optional<time_point> admitted_at;
+  /// Rank of the variant that is preempting other jobs. At most one variant of a job preempts at a
+  /// time.
   std::optional<std::uint32_t> preempting_rank;
+  /// Time after which another variant may preempt.
   time_point preempting_until{};
 };
 
-/// The kinds of pools that jobs wait for as their best ones and that can't grow, each with the
-/// lowest priority among these jobs.
+/// The kinds of pools that can't scale out and for which jobs wait as their best pool, each with
+/// the lowest priority of these jobs.
 using contested_pools = std::map<pool_kind, priority>;
 
-/// Creates, activates and deactivates variants from one cycle to the next; decides nothing about
-/// capacity.
+/// Creates variants of jobs and updates in each cycle which of them are active. Doesn't check
+/// capacity. Has the lifetime of its scheduler.
 class variant_table {
  public:
   explicit variant_table(const policy& rules) : rules_(rules) {}
 
-  /// Brings a job's variants up to date with the clock and with what runs. The result stays valid
-  /// until the job is forgotten.
+  /// Updates the variants of a job to the time of the snapshot and the placed tasks of the job. The
+  /// result stays valid until retain_only() removes the job.
   job_admission& refresh(const job_view& job, const snapshot& input);
-  /// The job was preempted: all variants and countdowns start anew.
+  /// Restarts the delays of a job after it was preempted.
   void reset(const job_id& job, time_point now);
-  /// Drops the state of all other jobs: references to it become invalid.
-  void forget_all_but(const std::set<job_id>& jobs);
-  /// As of the last cycle; lower variants are created later there.
+  /// Removes the state of all jobs that are not in `jobs`, which invalidates references to it.
+  void retain_only(const std::set<job_id>& jobs);
+  /// Sets the contested pools that the last cycle found. Lower variants for these pools are created
+  /// later.
   void set_contested(contested_pools pools) { contested_ = std::move(pools); }
 
  private:
   std::vector<variant> create(const job_view& job, const snapshot& input) const;
-  void update_countdowns(job_admission& state, const job_view& job, time_point now) const;
+  void update_timers(job_admission& state, const job_view& job, time_point now) const;
   bool may_upgrade(const job_admission& state, const job_view& job, time_point now) const;
   duration creation_delay(const variant& candidate, const job_view& job) const;
 
--- a/src/admission/victim_selection.hpp
+++ b/src/admission/victim_selection.hpp
@@ -4,37 +4,41 @@
 
 namespace gingerdrift::admission {
 
-/// What is to be stopped on a machine so that one task more fits.
-struct machine_clearing {
-  resources free;  // once all that leaves has left
+/// The victims to stop on one machine so that one more task fits there.
+struct machine_preemption_plan {
+  /// Free resources once the victims and all other stopping tasks have ended.
+  resources free;
   std::vector<victim> victims;
+  /// Total cost of the victims.
   double cost = 0;
-  std::vector<resources> projected;  // usage by team, once the victims are gone
+  /// Usage of each team once the victims have ended.
+  std::vector<resources> projected;
 };
 
 /// Chooses victims on one machine for a preempting job.
 class victim_selector {
  public:
-  /// `guaranteed`: the job stays within its team's guarantee.
-  victim_selector(const cycle_state& cycle, const running_tasks& running, const cycle_job& job,
-                  bool guaranteed)
-      : cycle_(cycle), running_(running), job_(job), guaranteed_(guaranteed) {}
-
-  /// The cheapest that has to be stopped; nullopt when too little may be. `projected` is the usage
-  /// by team so far. Jobs in `stopping_gangs` are stopped anyway, for another machine of the same
-  /// job.
-  std::optional<machine_clearing> select(std::size_t machine,
-                                         const std::vector<resources>& projected,
-                                         const std::set<std::size_t>& stopping_gangs) const;
+  /// `guaranteed` states that the job fits in the guarantee of its team.
+  victim_selector(const cycle_state& cycle, const placed_task_index& placed_tasks,
+                  const cycle_job& job, bool guaranteed)
+      : cycle_(cycle), placed_tasks_(placed_tasks), job_(job), guaranteed_(guaranteed) {}
+
+  /// Selects the cheapest victims on a machine so that one more task of the job fits there. Returns
+  /// nullopt if the job may not preempt enough. `projected` is the usage of each team after the
+  /// victims that were selected before. The gangs in `stopping_gangs` are already victims of the
+  /// same preemption on another machine, so that their capacity costs nothing here.
+  std::optional<machine_preemption_plan> select(std::size_t machine,
+                                                const std::vector<resources>& projected,
+                                                const std::set<std::size_t>& stopping_gangs) const;
 
  private:
   std::vector<victim> candidates_on(std::size_t machine) const;
   bool may_preempt(const job_view& other, const std::vector<resources>& projected) const;
-  /// Adds the room that a victim leaves on the machine.
-  void add_freed_room(const victim& leaving, std::size_t machine, resources& free) const;
+  /// Adds the resources that become free on the machine when the victim is stopped.
+  void add_freed_capacity(const victim& stopped, std::size_t machine, resources& free) const;
 
   const cycle_state& cycle_;
-  const running_tasks& running_;
+  const placed_task_index& placed_tasks_;
   const cycle_job& job_;
   const bool guaranteed_;
 };
--- a/src/admission/victims.cpp
+++ b/src/admission/victims.cpp
@@ -4,33 +4,38 @@
 
 namespace {
 
-constexpr double new_start_s = 5;    // what a task needs to start once more
-constexpr double just_begun_s = 30;  // for so long a gang counts as only just placed
-/// Share of what ran that is lost although the progress is saved: the last piece of work.
+/// Time that a task needs to start again.
+constexpr double restart_s = 5;
+/// Time after the start of a gang, and before its expected end, in which stopping it costs extra.
+constexpr double protected_window_s = 30;
+/// Share of the run time that is lost although the task saves its progress: the most recent work.
 constexpr double unsaved_share = 0.02;
 
-/// One task of an array finds a place again by itself, mostly with its image; a gang has to find
-/// all of its machines at once, and fetch on each.
+/// Returns the restart cost of a task in seconds. A single array task is placed again by itself,
+/// mostly on a machine that has its image; a gang needs all of its machines at the same time and
+/// has to download its image on each.
 double restart_seconds(const job_view& job) {
-  return job.gang ? new_start_s + just_begun_s / 2 : new_start_s;
+  return job.gang ? restart_s + protected_window_s / 2 : restart_s;
 }
 
-/// What stopping one task wastes. A task that has only just been placed is dear, though it has no
-/// progress to lose: its image was fetched for nothing, and jobs that were stopped before they
-/// could begin, time after time, once kept a full fleet busy with nothing but fetching.
+/// Returns the cost of stopping one task. Stopping a gang that was only just placed is expensive
+/// although no progress is lost, because its images were downloaded in vain: on a full fleet, jobs
+/// that were repeatedly stopped before they could start once kept all machines busy with nothing
+/// but downloading images.
 double task_cost(const job_view& job, const placed_task_view& task, time_point now) {
   const double size = job.need.gpus > 0 ? job.need.gpus : job.need.cpus;
   const double restart = restart_seconds(job);
-  if (!task.running) return (job.gang ? restart + just_begun_s : restart) * size;
+  if (!task.running) return (job.gang ? restart + protected_window_s : restart) * size;
   const double ran = to_seconds(now - task.running_since);
   const double left = to_seconds(job.estimate) - ran;
   double seconds_lost = ran;
-  // A stop with enough grace keeps the progress but costs the saving and a new start.
+  // A task that writes checkpoints can save its progress when it is stopped: it loses only the time
+  // to save and a small share of its run time.
   if (job.checkpoint > duration::zero()) seconds_lost = to_seconds(job.save) + ran * unsaved_share;
   if (!job.gang) return (restart + seconds_lost) * size;
-  if (ran < just_begun_s) seconds_lost += just_begun_s - ran;
-  // What is about to end gives its room back by itself.
-  if (left > 0 && left < just_begun_s) seconds_lost += just_begun_s - left;
+  if (ran < protected_window_s) seconds_lost += protected_window_s - ran;
+  // A gang that is about to end frees its capacity soon without being stopped.
+  if (left > 0 && left < protected_window_s) seconds_lost += protected_window_s - left;
   return (restart + seconds_lost) * size;
 }
 
@@ -52,7 +57,7 @@
                    [](const victim& left, const victim& right) { return left.cost < right.cost; });
 }
 
-void running_tasks::build(const cycle_state& cycle) {
+void placed_task_index::build(const cycle_state& cycle) {
   if (built_) return;
   built_ = true;
   by_machine_.resize(cycle.capacity.size());
--- a/tests/admission_cycle_test.cpp
+++ b/tests/admission_cycle_test.cpp
@@ -29,10 +29,10 @@
   view.one_zone = true;
   admission::job_admission state;
   auto job = job_in_cycle(view, state);
-  EXPECT_TRUE(job.zone_allows(zone_name("b")));
+  EXPECT_TRUE(job.allows_zone(zone_name("b")));
   ++job.tasks_per_zone[zone_name("a")];
-  EXPECT_TRUE(job.zone_allows(zone_name("a")));
-  EXPECT_FALSE(job.zone_allows(zone_name("b")));
+  EXPECT_TRUE(job.allows_zone(zone_name("a")));
+  EXPECT_FALSE(job.allows_zone(zone_name("b")));
 }
 
 TEST(cycle_job, a_spread_job_has_at_most_half_of_its_tasks_in_a_zone) {
@@ -42,16 +42,16 @@
   admission::job_admission state;
   auto job = job_in_cycle(view, state);
   job.tasks_per_zone[zone_name("a")] = 1;
-  EXPECT_TRUE(job.zone_allows(zone_name("a"))) << "half is rounded up";
+  EXPECT_TRUE(job.allows_zone(zone_name("a"))) << "half is rounded up";
   job.tasks_per_zone[zone_name("a")] = 2;
-  EXPECT_FALSE(job.zone_allows(zone_name("a")));
-  EXPECT_TRUE(job.zone_allows(zone_name("b")));
+  EXPECT_FALSE(job.allows_zone(zone_name("a")));
+  EXPECT_TRUE(job.allows_zone(zone_name("b")));
 }
 
 TEST(failed_searches, the_same_search_for_as_many_tasks_or_more_fails) {
   const auto view = make_job("job");
   admission::job_admission state;
-  const auto search = admission::search_for(job_in_cycle(view, state), {"g8", "", false});
+  const auto search = admission::capacity_search_key(job_in_cycle(view, state), {"g8", "", false});
   admission::failed_searches failed;
   failed.add(search, 2);
   EXPECT_FALSE(failed.includes(search, 1));
@@ -77,7 +77,7 @@
   EXPECT_EQ(later.machines_of(job), std::vector<std::size_t>{0});
   ASSERT_NE(capacity.machine(0).reserved_for, nullptr);
   EXPECT_EQ(*capacity.machine(0).reserved_for, job);
-  EXPECT_TRUE(capacity.group(0).by_free_room.empty()) << "only the job's own searches see it";
+  EXPECT_TRUE(capacity.group(0).by_free_capacity.empty()) << "only the job's own searches see it";
 
   admission::capacity_index last_capacity(fleet.snapshot);
   admission::cycle_reservations last(stored, last_capacity, now + seconds(20), seconds(20));
@@ -140,11 +140,11 @@
   admission::pool_contention contention(seconds(45));
 
   fleet.snapshot.refused_pools = {admission_fleet::pool_in("a")};
-  contention.note_refusals(fleet.snapshot);
+  contention.record_refusals(fleet.snapshot);
   EXPECT_TRUE(contention.contested_by(jobs, now).empty()) << "the zone b can still grow";
 
   fleet.snapshot.refused_pools.insert(admission_fleet::pool_in("b"));
-  contention.note_refusals(fleet.snapshot);
+  contention.record_refusals(fleet.snapshot);
   const admission::contested_pools expected{{{"g8", false}, admission::priority::high}};
   EXPECT_EQ(contention.contested_by(jobs, now + seconds(44)), expected);
   EXPECT_TRUE(contention.contested_by(jobs, now + seconds(45)).empty());
--- a/tests/placement_search_test.cpp
+++ b/tests/placement_search_test.cpp
@@ -81,7 +81,7 @@
   reservations->reserve(index_of("reserved"), other);
   EXPECT_FALSE(search->is_usable(index_of("reserved"), job));
   EXPECT_EQ(best_fit(), "");
-  EXPECT_TRUE(search->machines_with_room(job, admission_fleet::pool_in("a"), 1).empty());
+  EXPECT_TRUE(search->machines_with_capacity(job, admission_fleet::pool_in("a"), 1).empty());
 }
 
 TEST_F(placement_search_test, a_machine_that_the_job_failed_on_is_not_usable) {
@@ -112,7 +112,7 @@
   index_machines();
   reservations->reserve(index_of("reserved"), view.id);
   const std::vector<std::size_t> expected{index_of("reserved"), index_of("fullest")};
-  EXPECT_EQ(search->machines_with_room(job, admission_fleet::pool_in("a"), 2), expected);
+  EXPECT_EQ(search->machines_with_capacity(job, admission_fleet::pool_in("a"), 2), expected);
 }
 
 }  // namespace gingerdrift::testing
--- a/tests/quota_ledger_test.cpp
+++ b/tests/quota_ledger_test.cpp
@@ -26,7 +26,7 @@
   const std::vector<team_view> teams{team_with(0, 4)};
   quota_ledger ledger(teams);
   const auto job = job_with_placed_tasks(4);
-  ledger.add_placed(job, /*staying=*/0);
+  ledger.add_placed(job, /*not_stopping=*/0);
   EXPECT_FALSE(ledger.limit_allows(job, 1)) << "all four still hold their places";
 }
 
@@ -34,7 +34,7 @@
   const std::vector<team_view> teams{team_with(0, 4)};
   quota_ledger ledger(teams);
   const auto job = make_job("job");
-  ledger.add_awaited_tasks(job, 3);
+  ledger.add_tasks_awaiting_preemption(job, 3);
   EXPECT_TRUE(ledger.limit_allows(job, 1));
   EXPECT_FALSE(ledger.limit_allows(job, 2));
 }
@@ -54,7 +54,7 @@
   const std::vector<team_view> teams{team_with(4, 0)};
   quota_ledger ledger(teams);
   const auto job = job_with_placed_tasks(5);
-  ledger.add_placed(job, /*staying=*/3);
+  ledger.add_placed(job, /*not_stopping=*/3);
   EXPECT_TRUE(ledger.within_guarantee(job, 1));
   EXPECT_FALSE(ledger.within_guarantee(job, 2));
   EXPECT_TRUE(ledger.exceeds_guarantee(job.team)) << "five are not proven gone";
