--- a/tests/admission_cycle_test.cpp
+++ b/tests/admission_cycle_test.cpp
@@ -1,4 +1,4 @@
-// The smaller classes that a scheduling cycle is made of.
+// Tests of the smaller classes that implement a scheduling cycle.
 #include <gtest/gtest.h>
 
 #include "admission/failed_searches.hpp"
@@ -24,7 +24,7 @@
 
 }  // namespace
 
-TEST(cycle_job, a_job_in_one_zone_stays_where_it_has_tasks) {
+TEST(cycle_job, a_one_zone_job_is_allowed_only_in_the_zone_of_its_tasks) {
   auto view = make_job("job");
   view.one_zone = true;
   admission::job_admission state;
@@ -48,7 +48,7 @@
   EXPECT_TRUE(job.allows_zone(zone_name("b")));
 }
 
-TEST(failed_searches, the_same_search_for_as_many_tasks_or_more_fails) {
+TEST(failed_searches, includes_the_same_search_for_as_many_tasks_or_more) {
   const auto view = make_job("job");
   admission::job_admission state;
   const auto search = admission::capacity_search_key(job_in_cycle(view, state), {"g8", "", false});
@@ -62,7 +62,7 @@
   EXPECT_FALSE(failed.includes(other_search, 3));
 }
 
-TEST(cycle_reservations, a_reservation_lasts_from_one_cycle_to_the_next_until_it_runs_out) {
+TEST(cycle_reservations, a_reservation_is_restored_in_later_cycles_until_it_expires) {
   admission_fleet fleet;
   fleet.add_machine("m1");
   const job_id job("job");
@@ -77,7 +77,8 @@
   EXPECT_EQ(later.machines_of(job), std::vector<std::size_t>{0});
   ASSERT_NE(capacity.machine(0).reserved_for, nullptr);
   EXPECT_EQ(*capacity.machine(0).reserved_for, job);
-  EXPECT_TRUE(capacity.group(0).by_free_capacity.empty()) << "only the job's own searches see it";
+  EXPECT_TRUE(capacity.group(0).by_free_capacity.empty())
+      << "searches of other jobs don't find the machine";
 
   admission::capacity_index last_capacity(fleet.snapshot);
   admission::cycle_reservations last(stored, last_capacity, now + seconds(20), seconds(20));
@@ -86,7 +87,8 @@
   EXPECT_EQ(last_capacity.machine(0).reserved_for, nullptr);
 }
 
-TEST(cycle_reservations, a_reservation_ends_with_the_waiting_of_its_job_or_its_machine) {
+TEST(cycle_reservations,
+     a_reservation_is_dropped_if_its_job_no_longer_waits_or_its_machine_is_missing) {
   admission_fleet fleet;
   fleet.add_machine("m1");
   const time_point now = fleet.snapshot.now;
@@ -101,14 +103,14 @@
   EXPECT_TRUE(reservations.count_by_pool().empty());
 }
 
-// Whichever of its variants comes first. With machines reserved in two zones, both halves would
-// idle.
-TEST(gang_reservation, a_gang_goes_on_in_the_zone_where_it_began_reserving) {
-  for (const bool begun_in_a : {true, false}) {
-    const std::string begun_zone = begun_in_a ? "a" : "b";
-    const std::string larger_zone = begun_in_a ? "b" : "a";
+// Holds no matter which zone the first variant of the gang is for. If machines were reserved in two
+// zones, they would all be idle, because the gang needs all of them in one zone.
+TEST(gang_reservation, a_gang_reserves_further_machines_only_in_the_zone_of_its_reservations) {
+  for (const bool reserved_in_a : {true, false}) {
+    const std::string reserved_zone = reserved_in_a ? "a" : "b";
+    const std::string larger_zone = reserved_in_a ? "b" : "a";
     admission_fleet fleet;
-    fleet.add_machine("begun", begun_zone);
+    fleet.add_machine("begun", reserved_zone);
     fleet.add_machine("other_1", larger_zone);
     fleet.add_machine("other_2", larger_zone);
     admission::policy rules;
@@ -129,7 +131,7 @@
   }
 }
 
-TEST(pool_contention, a_pool_that_jobs_wait_for_is_contested_while_all_of_its_zones_refuse) {
+TEST(pool_contention, a_pool_that_jobs_wait_for_is_contested_while_all_zones_refuse_machines) {
   admission_fleet fleet;
   auto view = make_job("job");
   view.level = admission::priority::high;
@@ -141,7 +143,7 @@
 
   fleet.snapshot.refused_pools = {admission_fleet::pool_in("a")};
   contention.record_refusals(fleet.snapshot);
-  EXPECT_TRUE(contention.contested_by(jobs, now).empty()) << "the zone b can still grow";
+  EXPECT_TRUE(contention.contested_by(jobs, now).empty()) << "zone b can still scale out";
 
   fleet.snapshot.refused_pools.insert(admission_fleet::pool_in("b"));
   contention.record_refusals(fleet.snapshot);
@@ -150,11 +152,11 @@
   EXPECT_TRUE(contention.contested_by(jobs, now + seconds(45)).empty());
 }
 
-TEST(planned_machines, tasks_go_to_the_fullest_machines_up_to_the_limit_of_the_team) {
+TEST(planned_machines, tasks_are_packed_on_the_fullest_machines_up_to_the_team_limit) {
   const std::vector<admission::team_view> teams{{"red", 0, 0, 0, /*gpus_max=*/3}};
   admission::quota_ledger quota(teams);
-  std::set<machine_name> expected_machines;
-  admission::planned_machines planned(quota, expected_machines);
+  std::set<machine_name> needed_machines;
+  admission::planned_machines planned(quota, needed_machines);
   planned.add(admission_fleet::pool_in("a"), admission_fleet::size(), machine_name("empty"));
   planned.add(admission_fleet::pool_in("a"), {16, 2, 96}, machine_name("fullest"));
   const auto view = make_job("job");
@@ -163,7 +165,7 @@
 
   EXPECT_EQ(planned.count_candidates(admission_fleet::pool_in("a"), view.need, 8), 2U);
   EXPECT_EQ(planned.pack(job, admission_fleet::pool_in(""), 2), 2U);
-  EXPECT_EQ(expected_machines, std::set<machine_name>{machine_name("fullest")});
+  EXPECT_EQ(needed_machines, std::set<machine_name>{machine_name("fullest")});
   EXPECT_EQ(planned.pack(job, admission_fleet::pool_in(""), 2), 1U) << "three GPUs at most";
   EXPECT_EQ(job.tasks_per_zone[zone_name("a")], 3U);
 }
--- a/tests/admission_test.cpp
+++ b/tests/admission_test.cpp
@@ -1,5 +1,6 @@
-// Plays the kept traces of admission: the decisions of whole scheduling cycles. After a wanted
-// change, read the difference, then keep the new trace: set KEEP_TRACES=1 in the environment.
+// Replays the recorded traces of admission and compares the decisions of whole scheduling cycles.
+// After an intended change, review the differences, then run the test with KEEP_TRACES=1 in the
+// environment to overwrite the traces.
 #include <gtest/gtest.h>
 
 #include <fstream>
@@ -13,13 +14,13 @@
 INSTANTIATE_TEST_SUITE_P(recorded, admission_trace, ::testing::ValuesIn(kept_traces("admission")),
                          [](const auto& trace) { return trace.param; });
 
-TEST_P(admission_trace, decides_as_kept) {
+TEST_P(admission_trace, replay_makes_the_recorded_decisions) {
   const std::string expected = read_trace("admission", GetParam());
   const std::string actual = play_trace(expected);
   if (std::getenv("KEEP_TRACES") != nullptr)
     std::ofstream(trace_path("admission", GetParam())) << actual;
   EXPECT_EQ(actual, expected);
-  EXPECT_NE(actual.find("\n> "), std::string::npos) << "a trace without decisions shows nothing";
+  EXPECT_NE(actual.find("\n> "), std::string::npos) << "a trace without decisions tests nothing";
 }
 
 }  // namespace gingerdrift::testing
--- a/tests/placement_search_test.cpp
+++ b/tests/placement_search_test.cpp
@@ -9,7 +9,8 @@
 using admission::capacity_index;
 using admission::cycle_job;
 
-/// Searches the zone `a` of a fleet for one job. Machines are added first, then indexed.
+/// Fixture that searches a small fleet for machines for one job. Tests first add machines and
+/// adjust the job, then call index_machines().
 class placement_search_test : public ::testing::Test {
  protected:
   void index_machines() {
@@ -18,7 +19,7 @@
     search.emplace(*capacity, *reservations);
     job.view = &view;
   }
-  /// The name of the best machine; empty if there is none.
+  /// Returns the name of the best machine in the zone; empty if no machine fits.
   std::string best_fit(const std::string& zone = "a") {
     const auto machine = search->best_fit(job, admission_fleet::pool_in(zone));
     return machine == capacity_index::no_machine ? "" : capacity->machine(machine).view->name.str();
@@ -43,7 +44,7 @@
   EXPECT_EQ(best_fit(), "fullest");
 }
 
-TEST_F(placement_search_test, a_machine_in_use_with_the_image_goes_before_a_fuller_one) {
+TEST_F(placement_search_test, a_machine_in_use_with_the_image_is_preferred_to_a_fuller_one) {
   fleet.add_machine("fullest").free.gpus = 1;
   auto& with_image = fleet.add_machine("with_image");
   with_image.free.gpus = 4;
@@ -52,7 +53,7 @@
   EXPECT_EQ(best_fit(), "with_image");
 }
 
-TEST_F(placement_search_test, an_empty_machine_with_the_image_is_spared_while_one_in_use_fits) {
+TEST_F(placement_search_test, a_machine_in_use_is_preferred_to_an_empty_one_with_the_image) {
   fleet.add_machine("empty_with_image").images = {"image"};
   fleet.add_machine("in_use").free.gpus = 4;
   index_machines();
@@ -66,7 +67,7 @@
   EXPECT_EQ(best_fit(), "empty_with_image");
 }
 
-TEST_F(placement_search_test, a_machine_reserved_for_the_job_goes_first) {
+TEST_F(placement_search_test, a_machine_reserved_for_the_job_is_preferred) {
   fleet.add_machine("fullest").free.gpus = 1;
   fleet.add_machine("reserved");
   index_machines();
@@ -92,7 +93,7 @@
   EXPECT_FALSE(search->is_unrestricted(job));
 }
 
-TEST_F(placement_search_test, a_machine_that_takes_no_tasks_is_not_usable) {
+TEST_F(placement_search_test, a_machine_that_accepts_no_tasks_is_not_usable) {
   fleet.add_machine("starting").ready = false;
   index_machines();
   EXPECT_EQ(best_fit(), "");
--- a/tests/quota_ledger_test.cpp
+++ b/tests/quota_ledger_test.cpp
@@ -22,15 +22,15 @@
 
 }  // namespace
 
-TEST(quota_ledger, a_limit_counts_tasks_until_they_are_gone) {
+TEST(quota_ledger, a_limit_counts_stopping_tasks_until_they_have_ended) {
   const std::vector<team_view> teams{team_with(0, 4)};
   quota_ledger ledger(teams);
   const auto job = job_with_placed_tasks(4);
   ledger.add_placed(job, /*not_stopping=*/0);
-  EXPECT_FALSE(ledger.limit_allows(job, 1)) << "all four still hold their places";
+  EXPECT_FALSE(ledger.limit_allows(job, 1)) << "all four tasks still occupy their machines";
 }
 
-TEST(quota_ledger, a_limit_counts_tasks_that_room_was_cleared_for) {
+TEST(quota_ledger, a_limit_counts_tasks_that_await_a_preemption) {
   const std::vector<team_view> teams{team_with(0, 4)};
   quota_ledger ledger(teams);
   const auto job = make_job("job");
@@ -39,7 +39,7 @@
   EXPECT_FALSE(ledger.limit_allows(job, 2));
 }
 
-TEST(quota_ledger, sums_of_tenths_reach_the_limit) {
+TEST(quota_ledger, decimal_requests_can_reach_the_limit_exactly) {
   const std::vector<team_view> teams{team_with(0, 0.3)};
   quota_ledger ledger(teams);
   auto job = make_job("job");
@@ -50,14 +50,14 @@
   EXPECT_FALSE(ledger.limit_allows(job, 2));
 }
 
-TEST(quota_ledger, a_guarantee_counts_what_stays) {
+TEST(quota_ledger, a_guarantee_counts_only_tasks_that_are_not_stopping) {
   const std::vector<team_view> teams{team_with(4, 0)};
   quota_ledger ledger(teams);
   const auto job = job_with_placed_tasks(5);
   ledger.add_placed(job, /*not_stopping=*/3);
   EXPECT_TRUE(ledger.within_guarantee(job, 1));
   EXPECT_FALSE(ledger.within_guarantee(job, 2));
-  EXPECT_TRUE(ledger.exceeds_guarantee(job.team)) << "five are not proven gone";
+  EXPECT_TRUE(ledger.exceeds_guarantee(job.team)) << "all five tasks still occupy their machines";
 }
 
 TEST(quota_ledger, a_team_without_guarantee_is_neither_within_nor_beyond_it) {
@@ -70,7 +70,7 @@
   EXPECT_TRUE(ledger.is_borrowed(job.team, job.need, job.need));
 }
 
-TEST(quota_ledger, only_what_lies_wholly_beyond_the_guarantee_is_borrowed) {
+TEST(quota_ledger, only_an_amount_entirely_beyond_the_guarantee_is_borrowed) {
   const std::vector<team_view> teams{team_with(8, 0)};
   const quota_ledger ledger(teams);
   const admission::resources usage{0, 12, 0};
--- a/tests/support/admission_builders.hpp
+++ b/tests/support/admission_builders.hpp
@@ -7,8 +7,9 @@
 
 namespace gingerdrift::testing {
 
-/// A snapshot of a small fleet, for tests of single classes of admission: machines of the type
-/// `g8` with 64 CPUs and 8 GPUs in the zones `a` and `b`, one team without quota, at 1000 s.
+/// Snapshot of a small fleet for unit tests of admission. Machines are of the type `g8`, with 64
+/// CPUs and 8 GPUs, in the zones `a` and `b`. There is one team, without a quota, and the time is
+/// 1000 s.
 struct admission_fleet {
   admission::snapshot snapshot;
 
@@ -24,12 +25,15 @@
     snapshot.teams.push_back({.name = "red"});
   }
 
+  /// Returns the resources of a machine.
   static admission::resources size() { return {64, 8, 384}; }
+  /// Returns the pool of the machine type in a zone.
   static admission::pool pool_in(const std::string& zone, bool spot = false) {
     return {"g8", zone_name(zone), spot};
   }
 
-  /// Adds an empty machine; the result may be changed until the snapshot is used.
+  /// Adds an empty machine that accepts tasks. The result may be modified until the snapshot is
+  /// used.
   admission::machine_view& add_machine(const std::string& name, const std::string& zone = "a") {
     auto machine = std::make_shared<admission::machine_view>();
     machine->name = machine_name(name);
@@ -41,7 +45,7 @@
   }
 };
 
-/// An array of one waiting task that needs 6 CPUs and 1 GPU.
+/// Returns an array with one waiting task that requests 6 CPUs, 1 GPU and 36 GB of memory.
 inline admission::job_view make_job(const std::string& id) {
   admission::job_view job;
   job.id = job_id(id);
@@ -53,7 +57,8 @@
   return job;
 }
 
-/// A gang in one zone whose tasks, all of them waiting, need a whole machine each.
+/// Returns a gang bound to one zone, all of whose tasks are waiting and request a whole machine
+/// each.
 inline admission::job_view make_gang_of_whole_machines(const std::string& id, std::uint32_t tasks,
                                                        time_point created) {
   auto gang = make_job(id);
@@ -67,7 +72,7 @@
   return gang;
 }
 
-/// A task that is running since `since`.
+/// Returns a task that has been running in zone `a` since `since`.
 inline admission::placed_task_view make_running_task(std::uint32_t task, const std::string& machine,
                                                      time_point since) {
   admission::placed_task_view placed;
--- a/tests/support/admission_trace.cpp
+++ b/tests/support/admission_trace.cpp
@@ -13,19 +13,19 @@
 
 using namespace admission;
 
-resources amounts(const std::string& text) {
+resources parse_resources(const std::string& text) {
   const auto parts = split(text);
   return {std::stod(parts.at(0)), std::stod(parts.at(1)), std::stod(parts.at(2))};
 }
 
-priority priority_named(const std::string& name) {
+priority parse_priority(const std::string& name) {
   if (name == "low") return priority::low;
   if (name == "high") return priority::high;
   if (name == "production") return priority::production;
   return priority::standard;
 }
 
-std::uint32_t task_number(const std::string& text) {
+std::uint32_t parse_task(const std::string& text) {
   return static_cast<std::uint32_t>(std::stoul(text));
 }
 
@@ -33,13 +33,13 @@
   return from_seconds(line.number(name, fallback));
 }
 
-/// Keeps the fleet and the jobs of one trace, applies its lines to them, and runs the cycles.
+/// Replays one trace: holds its fleet and jobs, applies the lines to them and runs the cycles.
 class trace_player {
  public:
   std::string play(const std::string& text) {
     std::istringstream in(text);
     for (std::string line; std::getline(in, line);) {
-      if (line.rfind("> ", 0) == 0) continue;  // a kept decision; those made now are compared
+      if (line.rfind("> ", 0) == 0) continue;  // expected decision; the output has the actual ones
       output_ += line + "\n";
       if (line.empty() || line[0] == '#') continue;
       apply(trace_line(line));
@@ -58,9 +58,9 @@
         {"lost", &trace_player::remove_tasks},   {"ends", &trace_player::end_job},
         {"refused", &trace_player::refuse_pool}, {"cycle", &trace_player::run_cycle},
     };
-    const std::string& verb = line.words.at(0);
-    const auto handler = handlers.find(verb);
-    if (handler == handlers.end()) throw std::invalid_argument("unknown line: " + verb);
+    const std::string& keyword = line.words.at(0);
+    const auto handler = handlers.find(keyword);
+    if (handler == handlers.end()) throw std::invalid_argument("unknown line: " + keyword);
     (this->*handler->second)(line);
   }
 
@@ -85,7 +85,7 @@
   void add_type(const trace_line& line) {
     machine_type type;
     type.name = line.words.at(1);
-    type.size = amounts(line.text("size"));
+    type.size = parse_resources(line.text("size"));
     type.price = line.number("price", 10);
     type.spot_price = line.number("spot_price", 3);
     type.zones = ids_of<zone_name>(split(line.text("zones")));
@@ -111,10 +111,10 @@
     for (std::size_t i = 0; i < snapshot_.teams.size(); ++i) {
       if (snapshot_.teams[i].name == line.text("team")) job.team = i;
     }
-    job.level = priority_named(line.text("priority"));
+    job.level = parse_priority(line.text("priority"));
     job.gang = line.has("gang");
     job.total_tasks = static_cast<std::uint32_t>(line.number("tasks", 1));
-    job.need = amounts(line.text("need", "1,1,1"));
+    job.need = parse_resources(line.text("need", "1,1,1"));
     job.one_zone = line.has("one_zone");
     job.spread = line.has("spread");
     job.spot = line.has("may_spot");
@@ -129,18 +129,18 @@
     jobs_.push_back(job);
   }
 
-  /// runs JOB TASK MACHINE ran=SECONDS
+  /// Handles `runs JOB TASK MACHINE ran=SECONDS`.
   void add_running_task(const trace_line& line) {
-    place(find_job(job_id(line.words.at(1))), task_number(line.words.at(2)),
+    place(find_job(job_id(line.words.at(1))), parse_task(line.words.at(2)),
           machine_name(line.words.at(3)), seconds_of(line, "ran", 0));
   }
 
-  /// lost JOB TASK|all
+  /// Handles `lost JOB TASK` and `lost JOB all`.
   void remove_tasks(const trace_line& line) {
     auto& job = find_job(job_id(line.words.at(1)));
     const std::string& which = line.words.at(2);
     for (auto task = job.placed.begin(); task != job.placed.end();) {
-      if (which != "all" && task->task != task_number(which)) {
+      if (which != "all" && task->task != parse_task(which)) {
         ++task;
         continue;
       }
@@ -157,7 +157,7 @@
 
   void refuse_pool(const trace_line& line) { snapshot_.refused_pools.insert(pool_in(line, 1)); }
 
-  /// cycle SECONDS
+  /// Handles `cycle SECONDS`.
   void run_cycle(const trace_line& line) {
     snapshot_.now += from_seconds(std::stod(line.words.at(1)));
     snapshot_.jobs.clear();
@@ -211,7 +211,7 @@
     job.placed.push_back(placed);
   }
 
-  /// TYPE ZONE [spot], from the given word on.
+  /// Returns the pool of a line with the words `TYPE ZONE [spot]` from `first_word` on.
   static pool pool_in(const trace_line& line, std::size_t first_word) {
     return {line.words.at(first_word), zone_name(line.words.at(first_word + 1)), line.has("spot")};
   }
