--- a/src/admission/quota_ledger.hpp
+++ b/src/admission/quota_ledger.hpp
@@ -53,8 +53,9 @@
 
  private:
   const std::vector<team_view>& teams_;
-  /// Both are indexed by team.
+  /// Occupied usage, by team index.
   std::vector<resources> occupied_;
+  /// Projected usage, by team index.
   std::vector<resources> projected_;
 };
 
--- a/src/admission/variants.hpp
+++ b/src/admission/variants.hpp
@@ -24,7 +24,7 @@
   /// Start of the delays of variant creation, scale-out and gang reservation: the creation of the
   /// job, or its last preemption.
   time_point delay_start;
-  /// Start of the deletion delay: the time when the job was admitted; empty while no task is
+  /// Start of the deletion delay: the time when the job was admitted; empty until a task is
   /// placed.
   std::optional<time_point> admitted_at;
   /// Rank of the variant that is preempting other jobs. At most one variant of a job preempts at a
