--- a/src/leader/snapshot_builder.cpp
+++ b/src/leader/snapshot_builder.cpp
@@ -73,11 +73,11 @@
 /// Adds the pools for which the cloud recently refused a request, and all pools of partitioned
 /// zones.
 void snapshot_builder::add_refused_pools(admission::snapshot& snapshot) const {
-  snapshot.refused = machines_.refused();
+  snapshot.refused_pools = machines_.refused();
   for (const auto& type : snapshot.types) {
     for (const auto& zone : type.zones) {
       if (!zones_.is_partitioned(zone)) continue;
-      for (const bool spot : {false, true}) snapshot.refused.insert({type.name, zone, spot});
+      for (const bool spot : {false, true}) snapshot.refused_pools.insert({type.name, zone, spot});
     }
   }
 }
@@ -93,9 +93,10 @@
     // individual members can be replaced.
     const bool takes_replacements = !job.gang_started() && attempts.all_still_starting;
     if (job.spec().gang && !job.attempts().empty() && !view->waiting.empty() && !takes_replacements)
-      view->held_back = true;
+      view->placement_suspended = true;
   }
-  for (const auto& [machine, count] : job.failures_by_machine()) view->avoid.insert(machine);
+  for (const auto& [machine, count] : job.failures_by_machine())
+    view->excluded_machines.insert(machine);
   if (attempts.all_pools_known) job.cache_view(view);
   return view;
 }
@@ -111,7 +112,7 @@
   view.created =
       runtime_.now() - milliseconds(std::max<std::int64_t>(0, wall_ms - view.created_ms));
   view.gang = spec.gang;
-  view.total = spec.tasks;
+  view.total_tasks = spec.tasks;
   view.need = spec.need;
   view.any_type = spec.any_type;
   view.types = spec.types;
@@ -130,7 +131,7 @@
                                                                  admission::job_view& view) const {
   attempt_summary summary;
   for (const auto& [task, attempt] : job.attempts()) {
-    admission::placed_view placed;
+    admission::placed_task_view placed;
     placed.task = task;
     placed.machine = attempt.machine;
     placed.pool = pool_of(attempt.machine);
@@ -138,7 +139,7 @@
     // be started until the zone is known.
     if (placed.pool.zone.empty()) {
       summary.all_pools_known = false;
-      if (job.spec().one_zone || job.spec().spread) view.held_back = true;
+      if (job.spec().one_zone || job.spec().spread) view.placement_suspended = true;
     }
     placed.running = attempt.phase == job_store::attempt_phase::running;
     placed.stopping = attempt.stopping;
--- a/tests/decision_applier_test.cpp
+++ b/tests/decision_applier_test.cpp
@@ -85,7 +85,7 @@
 
 TEST_F(decision_applier_test, reports_the_machines_that_jobs_wait_for) {
   admission::decisions cycle_decisions;
-  cycle_decisions.awaited_machines = {"m-1"};
+  cycle_decisions.needed_machines = {"m-1"};
   decisions.apply(cycle_decisions);
   EXPECT_TRUE(decisions.is_awaited("m-1"));
   EXPECT_FALSE(decisions.is_awaited("m-2"));
--- a/tests/scale_in_test.cpp
+++ b/tests/scale_in_test.cpp
@@ -28,7 +28,7 @@
 TEST_F(scale_in_test, a_machine_that_a_job_waits_for_is_kept) {
   send_heartbeat("m-1");
   admission::decisions cycle_decisions;
-  cycle_decisions.awaited_machines = {"m-1"};
+  cycle_decisions.needed_machines = {"m-1"};
   decisions.apply(cycle_decisions);
   send_heartbeats_for(seconds(70), {"m-1"});
   EXPECT_FALSE(released("m-1"));
