--- a/src/dependencies/graph.cpp
+++ b/src/dependencies/graph.cpp
@@ -7,44 +7,46 @@
 
 namespace gingerdrift::dependencies {
 
-graph::event_effects graph::add(const job_id& job, admission::priority level,
+graph::event_effects graph::add(const job_id& job, admission::priority own_priority,
                                 const std::vector<job_id>& dependencies) {
   event_effects effects;
-  if (waits(job)) return effects;
-  start_waiting(job, level);
+  if (is_waiting(job)) return effects;
+  start_waiting(job, own_priority);
   bool depends_on_cancelled = false;
-  for (const auto& name : dependencies)
-    depends_on_cancelled |= link(job, name, effects) == job_progress::cancelled;
-  // What depends on this job may have been known before: its priority goes on through it.
-  const auto inherited = std::max(level, nodes_.at(job).inherited);
-  for (const auto& name : dependencies) {
-    // A dependent can only raise it, and mostly doesn't.
-    if (inherited > nodes_.at(name).inherited) update_priority(name, effects);
+  for (const auto& dependency : dependencies)
+    depends_on_cancelled |= add_edge(job, dependency, effects) == job_progress::cancelled;
+  // Dependents of this job may have been added before it: their priorities have to be passed on to
+  // its dependencies.
+  const auto propagated_priority = std::max(own_priority, nodes_.at(job).inherited_priority);
+  for (const auto& dependency : dependencies) {
+    // A new dependent can only raise the inherited priority, and usually leaves it unchanged.
+    if (propagated_priority > nodes_.at(dependency).inherited_priority)
+      update_inherited_priority(dependency, effects);
   }
   if (depends_on_cancelled) {
     cancel_descendants(job, effects);
   } else if (dependencies.empty()) {
     job_set former_dependencies;
-    detach(job, former_dependencies);
+    stop_waiting(job, former_dependencies);
     effects.ready.push_back(job);
   }
   return effects;
 }
 
-void graph::start_waiting(const job_id& job, admission::priority level) {
+void graph::start_waiting(const job_id& job, admission::priority own_priority) {
   job_node& node = nodes_[job];
-  node.waits = true;
-  node.own = level;
+  node.is_waiting = true;
+  node.own_priority = own_priority;
   node.progress = job_progress::unfinished;
-  unknown_.erase(job);
-  ++waiting_;
+  unknown_jobs_.erase(job);
+  ++waiting_job_count_;
 }
 
-/// The job depends on the other; returns how far that one is.
-job_progress graph::link(const job_id& job, const job_id& dependency, event_effects& effects) {
+/// Makes `job` depend on `dependency`; returns the progress of the dependency.
+job_progress graph::add_edge(const job_id& job, const job_id& dependency, event_effects& effects) {
   const auto [entry, is_new] = nodes_.try_emplace(dependency);
   if (is_new) {
-    unknown_.insert(dependency);
+    unknown_jobs_.insert(dependency);
     effects.newly_unknown.push_back(dependency);
   }
   entry->second.dependents.insert(job);
@@ -58,9 +60,9 @@
   if (found == nodes_.end()) return effects;
   found->second.progress = progress;
   if (progress == job_progress::unknown) {
-    unknown_.insert(job);
+    unknown_jobs_.insert(job);
   } else {
-    unknown_.erase(job);
+    unknown_jobs_.erase(job);
   }
   if (progress == job_progress::done) release_dependents(job, effects);
   if (progress == job_progress::cancelled) cancel_descendants(job, effects);
@@ -69,91 +71,93 @@
 
 graph::event_effects graph::remove(const job_id& job) {
   event_effects effects;
-  if (!waits(job)) return effects;
-  job_set affected;
-  detach(job, affected);
-  update_affected(affected, effects);
+  if (!is_waiting(job)) return effects;
+  job_set former_dependencies;
+  stop_waiting(job, former_dependencies);
+  update_former_dependencies(former_dependencies, effects);
   return effects;
 }
 
-/// The job waits for nothing any more; its dependents stay.
-void graph::detach(const job_id& job, job_set& affected) {
+/// Removes the edges to the job's dependencies; those from its dependents remain.
+void graph::stop_waiting(const job_id& job, job_set& former_dependencies) {
   job_node& node = nodes_.at(job);
-  node.waits = false;
-  --waiting_;
+  node.is_waiting = false;
+  --waiting_job_count_;
   const auto dependencies = std::exchange(node.dependencies, {});
-  for (const auto& name : dependencies) {
-    const auto found = nodes_.find(name);
+  for (const auto& dependency : dependencies) {
+    const auto found = nodes_.find(dependency);
     if (found == nodes_.end()) continue;
     found->second.dependents.erase(job);
-    affected.insert(name);
+    former_dependencies.insert(dependency);
   }
   drop_if_unused(job);
 }
 
-/// Each job once, however many of its dependents are gone.
-void graph::update_affected(const job_set& affected, event_effects& effects) {
-  for (const auto& name : affected) {
-    if (nodes_.count(name) == 0) continue;
-    update_priority(name, effects);
-    drop_if_unused(name);
+/// Updates jobs that have lost dependents. They are collected first so that each is updated only
+/// once, however many dependents it has lost.
+void graph::update_former_dependencies(const job_set& former_dependencies, event_effects& effects) {
+  for (const auto& job : former_dependencies) {
+    if (nodes_.count(job) == 0) continue;
+    update_inherited_priority(job, effects);
+    drop_if_unused(job);
   }
 }
 
 void graph::release_dependents(const job_id& job, event_effects& effects) {
   const auto dependents = std::exchange(nodes_.at(job).dependents, {});
   job_set former_dependencies;
-  for (const auto& name : dependents) {
-    job_node& dependent = nodes_.at(name);
-    dependent.dependencies.erase(job);
-    if (!dependent.dependencies.empty()) continue;
-    effects.ready.push_back(name);
-    detach(name, former_dependencies);
+  for (const auto& dependent : dependents) {
+    job_node& node = nodes_.at(dependent);
+    node.dependencies.erase(job);
+    if (!node.dependencies.empty()) continue;
+    effects.ready.push_back(dependent);
+    stop_waiting(dependent, former_dependencies);
   }
   drop_if_unused(job);
 }
 
-/// All descendants, nearest first. Each leaves the graph: it waits for nothing any more.
+/// Cancels all waiting descendants in breadth-first order and removes them from the graph. The job
+/// itself is cancelled too if it is waiting.
 void graph::cancel_descendants(const job_id& job, event_effects& effects) {
-  std::deque<job_id> next{job};
-  job_set seen{job};
-  while (!next.empty()) {
-    const job_id name = next.front();
-    next.pop_front();
-    job_node& node = nodes_.at(name);
-    if (node.waits) effects.cancelled.push_back(name);
-    // Its dependents are all over with it.
+  std::deque<job_id> queue{job};
+  job_set visited{job};
+  while (!queue.empty()) {
+    const job_id current = queue.front();
+    queue.pop_front();
+    job_node& node = nodes_.at(current);
+    if (node.is_waiting) effects.cancelled.push_back(current);
+    // All dependents of a cancelled job are cancelled with it.
     for (const auto& dependent : std::exchange(node.dependents, {})) {
-      if (seen.insert(dependent).second) next.push_back(dependent);
+      if (visited.insert(dependent).second) queue.push_back(dependent);
     }
   }
-  job_set affected;
-  for (const auto& name : effects.cancelled) detach(name, affected);
-  update_affected(affected, effects);
+  job_set former_dependencies;
+  for (const auto& cancelled : effects.cancelled) stop_waiting(cancelled, former_dependencies);
+  update_former_dependencies(former_dependencies, effects);
   drop_if_unused(job);
 }
 
-/// A job takes the highest priority of what depends on it; what it depends on itself takes that
-/// too, as far as that changes it.
-void graph::update_priority(const job_id& job, event_effects& effects) {
-  std::deque<job_id> next{job};
-  while (!next.empty()) {
-    const job_id name = next.front();
-    next.pop_front();
-    job_node& node = nodes_.at(name);
+/// Sets the job's inherited priority to the highest priority of its dependents. Where that changes
+/// it, the job's own dependencies are updated in the same way.
+void graph::update_inherited_priority(const job_id& job, event_effects& effects) {
+  std::deque<job_id> queue{job};
+  while (!queue.empty()) {
+    const job_id current = queue.front();
+    queue.pop_front();
+    job_node& node = nodes_.at(current);
     const auto highest = priority_of_dependents(node);
-    if (highest == node.inherited) continue;
-    node.inherited = highest;
-    effects.priority_changed.push_back(name);
-    next.insert(next.end(), node.dependencies.begin(), node.dependencies.end());
+    if (highest == node.inherited_priority) continue;
+    node.inherited_priority = highest;
+    effects.priority_changed.push_back(current);
+    queue.insert(queue.end(), node.dependencies.begin(), node.dependencies.end());
   }
 }
 
 admission::priority graph::priority_of_dependents(const job_node& node) const {
   auto highest = admission::priority::low;
-  for (const auto& name : node.dependents) {
-    const auto& dependent = nodes_.at(name);
-    highest = std::max({highest, dependent.own, dependent.inherited});
+  for (const auto& id : node.dependents) {
+    const auto& dependent = nodes_.at(id);
+    highest = std::max({highest, dependent.own_priority, dependent.inherited_priority});
   }
   return highest;
 }
@@ -161,14 +165,14 @@
 void graph::drop_if_unused(const job_id& job) {
   const auto found = nodes_.find(job);
   if (found == nodes_.end()) return;
-  if (found->second.waits || !found->second.dependents.empty()) return;
+  if (found->second.is_waiting || !found->second.dependents.empty()) return;
   nodes_.erase(found);
-  unknown_.erase(job);
+  unknown_jobs_.erase(job);
 }
 
-bool graph::waits(const job_id& job) const {
+bool graph::is_waiting(const job_id& job) const {
   const auto found = nodes_.find(job);
-  return found != nodes_.end() && found->second.waits;
+  return found != nodes_.end() && found->second.is_waiting;
 }
 
 bool graph::has_dependents(const job_id& job) const {
@@ -178,26 +182,29 @@
 
 admission::priority graph::inherited_priority(const job_id& job) const {
   const auto found = nodes_.find(job);
-  return found == nodes_.end() ? admission::priority::low : found->second.inherited;
+  return found == nodes_.end() ? admission::priority::low : found->second.inherited_priority;
 }
 
-bool graph::ancestors_known(const job_id& job,
-                            const std::function<bool(const job_id&)>& excluded) const {
-  std::deque<job_id> next{job};
-  std::unordered_set<job_id> seen{job};
-  while (!next.empty()) {
-    const auto current = nodes_.find(next.front());
-    next.pop_front();
+bool graph::all_ancestors_known(const job_id& job,
+                                const std::function<bool(const job_id&)>& is_excluded) const {
+  std::deque<job_id> queue{job};
+  std::unordered_set<job_id> visited{job};
+  while (!queue.empty()) {
+    const auto current = nodes_.find(queue.front());
+    queue.pop_front();
     if (current == nodes_.end()) continue;
-    for (const auto& name : current->second.dependencies) {
-      if (!seen.insert(name).second) continue;
-      if (nodes_.at(name).progress != job_progress::unfinished || excluded(name)) return false;
-      next.push_back(name);
+    for (const auto& dependency : current->second.dependencies) {
+      if (!visited.insert(dependency).second) continue;
+      if (nodes_.at(dependency).progress != job_progress::unfinished || is_excluded(dependency))
+        return false;
+      queue.push_back(dependency);
     }
   }
   return true;
 }
 
-std::vector<job_id> graph::unknown() const { return {unknown_.begin(), unknown_.end()}; }
+std::vector<job_id> graph::unknown_jobs() const {
+  return {unknown_jobs_.begin(), unknown_jobs_.end()};
+}
 
 }  // namespace gingerdrift::dependencies
--- a/src/dependencies/progress_lookup.cpp
+++ b/src/dependencies/progress_lookup.cpp
@@ -12,15 +12,16 @@
 namespace gingerdrift::dependencies {
 
 namespace {
-/// As many records as one page brings.
+/// The number of records that one page holds.
 constexpr std::size_t batch_size = 200;
 
-/// A key before that job's final record and behind that of every job with a smaller name.
-std::string key_before(const job_id& job) {
-  constexpr char behind_all_digits = '~';
+/// Returns a key that sorts before the job's final record and after those of all jobs with smaller
+/// ids, so that a page that starts after it begins with the job's record.
+std::string list_start_key(const job_id& job) {
+  constexpr char after_all_digits = '~';
   std::string key = job_store::final_key(job);
   --key.back();
-  return key + behind_all_digits;
+  return key + after_all_digits;
 }
 }  // namespace
 
@@ -33,64 +34,66 @@
 }
 
 void progress_lookup::start() {
-  if (reading_) return;
-  reading_ = true;
-  auto names = std::make_shared<batch>();
-  while (!queue_.empty() && names->size() < batch_size) {
+  if (batch_in_progress_) return;
+  batch_in_progress_ = true;
+  auto ids = std::make_shared<batch>();
+  while (!queue_.empty() && ids->size() < batch_size) {
     const job_id job = std::move(queue_.front());
     queue_.pop_front();
     if (callbacks_.resolve(job)) {
-      finish(job);
+      mark_resolved(job);
     } else {
-      names->push_back(job);
+      ids->push_back(job);
     }
   }
-  if (names->empty()) {
-    reading_ = false;
+  if (ids->empty()) {
+    batch_in_progress_ = false;
     return;
   }
-  std::sort(names->begin(), names->end());
-  read_finals(names, 0);
+  std::sort(ids->begin(), ids->end());
+  read_final_records(ids, 0);
 }
 
-void progress_lookup::read_finals(const std::shared_ptr<batch>& names, std::size_t next) {
-  if (next == names->size()) {
-    reading_ = false;
+void progress_lookup::read_final_records(const std::shared_ptr<batch>& ids, std::size_t next) {
+  if (next == ids->size()) {
+    batch_in_progress_ = false;
     start();
     return;
   }
-  const std::size_t left = names->size() - next;
-  store_.list_in_background(job_store::final_prefix, key_before((*names)[next]), left,
-                            guard_.wrap([this, names, next](const kvstore::result& page) {
-                              finals_read(names, next, page);
+  const std::size_t remaining = ids->size() - next;
+  store_.list_in_background(job_store::final_prefix, list_start_key((*ids)[next]), remaining,
+                            guard_.wrap([this, ids, next](const kvstore::result& page) {
+                              handle_final_records(ids, next, page);
                             }));
 }
 
-/// A page shows every final record up to its last key, and all there are if it is the last page.
-void progress_lookup::finals_read(const std::shared_ptr<batch>& names, std::size_t next,
-                                  const kvstore::result& page) {
+/// Resolves the jobs that the page covers, and reads the next page for the rest. A page contains
+/// every final record up to its last key; the last page covers all remaining keys. A job in this
+/// range without a final record has to have a head record.
+void progress_lookup::handle_final_records(const std::shared_ptr<batch>& ids, std::size_t next,
+                                           const kvstore::result& page) {
   if (!page.ok()) {
-    for (; next < names->size(); ++next) retry_later((*names)[next]);
-    return read_finals(names, next);
+    for (; next < ids->size(); ++next) retry_later((*ids)[next]);
+    return read_final_records(ids, next);
   }
   std::map<std::string, const kvstore::entry*> records;
   for (const auto& entry : page.entries) records[entry.key] = &entry;
-  const bool complete = !page.more || page.entries.empty();
-  for (; next < names->size(); ++next) {
-    const job_id& job = (*names)[next];
+  const bool covers_all_keys = !page.more || page.entries.empty();
+  for (; next < ids->size(); ++next) {
+    const job_id& job = (*ids)[next];
     const std::string key = job_store::final_key(job);
-    if (!complete && key > page.entries.back().key) break;
+    if (!covers_all_keys && key > page.entries.back().key) break;
     const auto record = records.find(key);
     if (record == records.end()) {
       read_head(job);
     } else {
-      take_final(job, *record->second);
+      apply_final_record(job, *record->second);
     }
   }
-  read_finals(names, next);
+  read_final_records(ids, next);
 }
 
-void progress_lookup::take_final(const job_id& job, const kvstore::entry& record) {
+void progress_lookup::apply_final_record(const job_id& job, const kvstore::entry& record) {
   std::optional<job_store::terminal_state> end;
   try {
     end = job_store::decode_final(record.value);
@@ -98,40 +101,41 @@
     spdlog::error("record_malformed kind=final key={} error=\"{}\"", record.key, error.what());
     return retry_malformed(job);
   }
-  finish(job);
-  callbacks_.ended(job, *end);
+  mark_resolved(job);
+  callbacks_.job_ended(job, *end);
 }
 
 void progress_lookup::read_head(const job_id& job) {
   store_.get_in_background(
       job_store::head_key(job),
-      guard_.wrap([this, job](const kvstore::result& answer) { head_read(job, answer); }));
+      guard_.wrap([this, job](const kvstore::result& result) { handle_head(job, result); }));
 }
 
-/// Records move from head to final, so that a job without either has moved between the readings.
-void progress_lookup::head_read(const job_id& job, const kvstore::result& answer) {
-  if (!answer.has_entry()) return retry_later(job);
-  if (callbacks_.head_read(answer.entries.front(), answer.sent)) return finish(job);
+/// A job's record moves from the head key to the final key. If neither key was found, the job ended
+/// between the two reads, and its final record has to be read again.
+void progress_lookup::handle_head(const job_id& job, const kvstore::result& result) {
+  if (!result.has_entry()) return retry_later(job);
+  if (callbacks_.load_head(result.entries.front(), result.sent)) return mark_resolved(job);
   retry_malformed(job);
 }
 
 void progress_lookup::retry_malformed(const job_id& job) {
-  ++malformed_[job];
+  ++malformed_reads_[job];
   retry_later(job);
 }
 
 void progress_lookup::retry_later(const job_id& job) {
-  const auto entry = malformed_.find(job);
-  const std::uint32_t malformed = entry == malformed_.end() ? 0 : entry->second;
-  runtime_.after(retry_delay(malformed), guard_.wrap([this, job] {
+  const auto entry = malformed_reads_.find(job);
+  const std::uint32_t malformed_reads = entry == malformed_reads_.end() ? 0 : entry->second;
+  runtime_.after(retry_delay(malformed_reads), guard_.wrap([this, job] {
     queue_.push_back(job);
     start();
   }));
 }
 
-void progress_lookup::finish(const job_id& job) {
+void progress_lookup::mark_resolved(const job_id& job) {
   pending_.erase(job);
-  malformed_.erase(job);
+  malformed_reads_.erase(job);
 }
 
 }  // namespace gingerdrift::dependencies
--- a/src/dependencies/progress_lookup.hpp
+++ b/src/dependencies/progress_lookup.hpp
@@ -15,53 +15,55 @@
 
 namespace gingerdrift::dependencies {
 
-/// Finds out from the store what became of jobs that others wait for.
+/// Reads from the store the state of jobs that other jobs wait for.
 ///
-/// Mostly they ended long ago, so that their final records are read first, in pages where the names
-/// lie close together: after a failover there may be thousands. A job without a final record was
-/// accepted elsewhere a moment ago, and has a head. Names that can't be resolved yet go behind all
-/// others, so that no number of unreadable records keeps the rest waiting.
+/// Most of these jobs ended long ago, so their final records are read first. After a failover there
+/// may be thousands of them; jobs whose ids are close to each other are therefore read in one page.
+/// A job without a final record was accepted by another controller a moment ago, and has a head
+/// record. Jobs that can't be resolved yet go to the end of the queue, so that unreadable records,
+/// however many, don't delay the others.
 class progress_lookup {
  public:
-  /// What it asks and tells its owner.
+  /// The owner's callbacks.
   struct callbacks {
-    /// Resolves the job without the store; true if nothing has to be read.
+    /// Tries to resolve the job without the store; returns true if nothing has to be read.
     std::function<bool(const job_id& job)> resolve;
-    /// Its final record is stored.
-    std::function<void(const job_id& job, const job_store::terminal_state& end)> ended;
-    /// A head record was read, asked for at that time; true if the job is held from then on.
-    std::function<bool(const kvstore::entry& head, time_point read_at)> head_read;
+    /// Called when the job's final record has been read.
+    std::function<void(const job_id& job, const job_store::terminal_state& end)> job_ended;
+    /// Called with a head record and the time at which the read was sent; returns true if the job
+    /// is in the owner's job table afterwards.
+    std::function<bool(const kvstore::entry& head, time_point read_at)> load_head;
   };
-  /// The callbacks run from within start() and when the store answers.
+  /// The callbacks run from within start() and whenever the store responds.
   progress_lookup(net::runtime& runtime, kvstore::client& store, callbacks owner_callbacks);
   progress_lookup(const progress_lookup&) = delete;
   progress_lookup& operator=(const progress_lookup&) = delete;
 
-  /// A job to be read, unless it is to be already.
+  /// Adds a job to the queue, unless it is pending already.
   void add(const job_id& job);
-  /// Reads what was added.
+  /// Starts reading the queued jobs, unless a batch is in progress.
   void start();
 
  private:
-  /// Names in key order, read with one page after the other.
+  /// Job ids in key order, which are read one page after the other.
   using batch = std::vector<job_id>;
-  void read_finals(const std::shared_ptr<batch>& names, std::size_t next);
-  void finals_read(const std::shared_ptr<batch>& names, std::size_t next,
-                   const kvstore::result& page);
-  void take_final(const job_id& job, const kvstore::entry& record);
+  void read_final_records(const std::shared_ptr<batch>& ids, std::size_t next);
+  void handle_final_records(const std::shared_ptr<batch>& ids, std::size_t next,
+                            const kvstore::result& page);
+  void apply_final_record(const job_id& job, const kvstore::entry& record);
   void read_head(const job_id& job);
-  void head_read(const job_id& job, const kvstore::result& answer);
+  void handle_head(const job_id& job, const kvstore::result& result);
   void retry_malformed(const job_id& job);
   void retry_later(const job_id& job);
-  void finish(const job_id& job);
+  void mark_resolved(const job_id& job);
 
   net::runtime& runtime_;
   kvstore::client& store_;
   callbacks callbacks_;
   std::deque<job_id> queue_;
-  std::set<job_id> pending_;                   // in the queue, being read, or to be tried later
-  std::map<job_id, std::uint32_t> malformed_;  // how often in a row
-  bool reading_ = false;                       // a batch is under way
+  std::set<job_id> pending_;  // jobs that are queued, being read, or scheduled for a retry
+  std::map<job_id, std::uint32_t> malformed_reads_;  // consecutive reads of a malformed record
+  bool batch_in_progress_ = false;
   callback_guard guard_;
 };
 
--- a/src/dependencies/retry_delay.hpp
+++ b/src/dependencies/retry_delay.hpp
@@ -7,12 +7,15 @@
 
 namespace gingerdrift::dependencies {
 
-/// How long to wait before a record is read again. A store that doesn't answer is asked again soon;
-/// a record that was malformed `malformed` times in a row stays so until somebody repairs it.
-inline duration retry_delay(std::uint32_t malformed) {
-  constexpr duration shortest = milliseconds(300);
+/// Returns the delay before a record is read again.
+///
+/// The delay is short if the store did not respond. It doubles with each of the `malformed_reads`
+/// consecutive reads that found the record malformed, up to a limit: such a record stays malformed
+/// until an operator repairs it.
+inline duration retry_delay(std::uint32_t malformed_reads) {
+  constexpr duration minimum_delay = milliseconds(300);
   constexpr std::uint32_t max_doublings = 5;
-  return shortest * (1 << std::min(malformed, max_doublings));
+  return minimum_delay * (1 << std::min(malformed_reads, max_doublings));
 }
 
 }  // namespace gingerdrift::dependencies
--- a/src/peers/codec.cpp
+++ b/src/peers/codec.cpp
@@ -6,16 +6,16 @@
 
 namespace {
 
-/// A message is a msgpack array whose first element is this number.
+/// The first element of the msgpack array that encodes a message or a response.
 constexpr int format_version = 1;
 
-/// The places of a message's fields in its array.
+/// Indexes of a message's fields in its array.
 namespace message_fields {
 enum : std::uint32_t { version, kind, node, method, target, body, job, count };
 }
 
-/// The places of an answer's fields in its array.
-namespace answer_fields {
+/// Indexes of a response's fields in its array.
+namespace response_fields {
 enum : std::uint32_t {
   version,
   status,
@@ -29,7 +29,7 @@
 };
 }
 
-/// Writes the format's version and the values, in this order.
+/// Encodes the format version, followed by the values in this order, as one array.
 template <typename... value>
 std::string pack_array(const value&... values) {
   msgpack::sbuffer buffer;
@@ -40,7 +40,8 @@
   return {buffer.data(), buffer.size()};
 }
 
-/// The elements of an array of that many; throws msgpack::type_error if it is anything else.
+/// Reads the elements of an array. The constructor throws msgpack::type_error if the bytes are not
+/// an array of `count` elements that starts with the format version.
 class array_reader {
  public:
   array_reader(const std::string& bytes, std::uint32_t count)
@@ -60,17 +61,17 @@
   msgpack::object_handle handle_;
 };
 
-kind read_kind(int number) {
-  switch (static_cast<kind>(number)) {
-    case kind::heartbeat:
-    case kind::job_announced:
-    case kind::user:
-      return static_cast<kind>(number);
+message_kind decode_kind(int number) {
+  switch (static_cast<message_kind>(number)) {
+    case message_kind::heartbeat:
+    case message_kind::job_announced:
+    case message_kind::user_request:
+      return static_cast<message_kind>(number);
   }
   throw msgpack::type_error();
 }
 
-/// The result of `read`, or nothing where it throws.
+/// Returns the result of `read`, or no value if it throws.
 template <typename reader>
 auto if_well_formed(const reader& read) -> std::optional<decltype(read())> {
   try {
@@ -87,9 +88,9 @@
                     message.target, message.body, message.job.str());
 }
 
-std::string encode(const answer& answer) {
-  return pack_array(answer.status, answer.body, answer.retry_after, answer.store_reachable,
-                    answer.heartbeats_seen, answer.leader.str(), answer.token.value());
+std::string encode(const peer_response& response) {
+  return pack_array(response.status, response.body, response.retry_after, response.store_reachable,
+                    response.heartbeats_seen, response.leader.str(), response.token.value());
 }
 
 std::optional<message> decode_message(const std::string& bytes) {
@@ -97,7 +98,7 @@
     namespace fields = message_fields;
     const array_reader array(bytes, fields::count);
     message result;
-    result.kind = read_kind(array.get<int>(fields::kind));
+    result.kind = decode_kind(array.get<int>(fields::kind));
     result.node = node_name(array.get<std::string>(fields::node));
     result.method = array.get<std::string>(fields::method);
     result.target = array.get<std::string>(fields::target);
@@ -107,11 +108,11 @@
   });
 }
 
-std::optional<answer> decode_answer(const std::string& bytes) {
+std::optional<peer_response> decode_peer_response(const std::string& bytes) {
   return if_well_formed([&bytes] {
-    namespace fields = answer_fields;
+    namespace fields = response_fields;
     const array_reader array(bytes, fields::count);
-    answer result;
+    peer_response result;
     result.status = array.get<int>(fields::status);
     result.body = array.get<std::string>(fields::body);
     result.retry_after = array.get<std::int64_t>(fields::retry_after);
--- a/src/peers/peer_network.cpp
+++ b/src/peers/peer_network.cpp
@@ -9,34 +9,36 @@
 namespace {
 const char* const messages_path = "/mesh";
 constexpr auto heartbeat_period = seconds(1);
-/// Less than the period, so that heartbeats to a silent peer don't pile up.
+/// Shorter than the period, so that heartbeats to an unresponsive peer don't accumulate.
 constexpr auto heartbeat_deadline = milliseconds(900);
-constexpr auto silence_threshold = heartbeat_period * 3;
+constexpr auto unreachable_after = heartbeat_period * 3;
 constexpr auto announce_deadline = seconds(1);
 
-net::response reply_with(const answer& answer) {
-  return {200, encode(answer), std::nullopt, false};
+net::response encode_http_response(const peer_response& response) {
+  return {200, encode(response), std::nullopt, false};
 }
 
-net::response refuse(int status) { return {status, "", std::nullopt, true}; }
+net::response error_response(int status) { return {status, "", std::nullopt, true}; }
 
-/// A user's reply on its way back to the controller that forwarded the request.
-answer to_answer(const net::response& response) {
-  answer result;
+/// Converts the HTTP response to a forwarded request into the message that is sent back to the
+/// controller that forwarded it.
+peer_response to_peer_response(const net::response& response) {
+  peer_response result;
   result.status = response.status;
   result.body = response.body;
   if (response.retry_after) result.retry_after = response.retry_after->count();
   return result;
 }
 
-/// The opposite of to_answer(). Status 0 where the peer did not answer as it should.
-net::response to_response(const net::response& reply) {
-  const auto answer = reply.status == 200 ? decode_answer(reply.body) : std::nullopt;
-  if (!answer) return {};
+/// The inverse of to_peer_response(). The status is 0 if the peer did not respond, or its response
+/// is not valid.
+net::response to_user_response(const net::response& reply) {
+  const auto response = reply.status == 200 ? decode_peer_response(reply.body) : std::nullopt;
+  if (!response) return {};
   net::response result;
-  result.status = answer->status;
-  result.body = answer->body;
-  if (answer->retry_after >= 0) result.retry_after = seconds(answer->retry_after);
+  result.status = response->status;
+  result.body = response->body;
+  if (response->retry_after >= 0) result.retry_after = seconds(response->retry_after);
   return result;
 }
 }  // namespace
@@ -50,10 +52,10 @@
 void peer_network::start() { send_heartbeats(); }
 
 bool peer_network::recently_seen(const peer_state& peer) const {
-  return peer.last_seen != time_point{} && runtime_.now() - peer.last_seen < silence_threshold;
+  return peer.last_seen != time_point{} && runtime_.now() - peer.last_seen < unreachable_after;
 }
 
-message peer_network::new_message(kind kind) const {
+message peer_network::new_message(message_kind kind) const {
   message result;
   result.kind = kind;
   result.node = node_;
@@ -66,28 +68,28 @@
 }
 
 void peer_network::send_heartbeats() {
-  const message heartbeat = new_message(kind::heartbeat);
+  const message heartbeat = new_message(message_kind::heartbeat);
   for (auto& [name, peer] : peers_) {
-    note_silence(name, peer);
+    detect_unreachable(name, peer);
     send(peer.address, heartbeat, heartbeat_deadline,
          guard_.wrap([this, node = name, sent = runtime_.now()](const net::response& reply) {
-           heartbeat_answered(node, sent, reply);
+           handle_heartbeat_response(node, sent, reply);
          }));
   }
   timer_.start(heartbeat_period, [this] { send_heartbeats(); });
 }
 
-void peer_network::note_silence(const node_name& name, peer_state& peer) const {
+void peer_network::detect_unreachable(const node_name& name, peer_state& peer) const {
   if (peer.unreachable || peer.last_seen == time_point{} || recently_seen(peer)) return;
   peer.unreachable = true;
   spdlog::info("peer_unreachable node={}", name);
 }
 
-void peer_network::heartbeat_answered(const node_name& node, time_point sent,
-                                      const net::response& reply) {
+void peer_network::handle_heartbeat_response(const node_name& node, time_point sent,
+                                             const net::response& reply) {
   if (reply.status != 200) return;
-  const auto answer = decode_answer(reply.body);
-  if (!answer) {
+  const auto response = decode_peer_response(reply.body);
+  if (!response) {
     spdlog::error("peer_response_malformed node={}", node);
     return;
   }
@@ -96,45 +98,47 @@
     spdlog::info("peer_reachable node={} silent_s={:.1f}", node,
                  to_seconds(runtime_.now() - peer.last_seen));
   }
-  // Counted from when the heartbeat was sent: its answer may have waited unread while this process
-  // stood still.
+  // The time at which the heartbeat was sent is used because the response may have been queued for
+  // a long time while this process was stalled.
   peer.last_seen = std::max(peer.last_seen, sent);
-  peer.store_reachable = answer->store_reachable;
-  peer.heartbeats_seen = answer->heartbeats_seen;
-  if (!answer->leader.empty()) hooks_.leader_observed(answer->leader, answer->token);
+  peer.store_reachable = response->store_reachable;
+  peer.heartbeats_seen = response->heartbeats_seen;
+  if (!response->leader.empty()) hooks_.leader_observed(response->leader, response->token);
 }
 
-answer peer_network::heartbeat_answer() const {
-  answer result;
+peer_response peer_network::heartbeat_response() const {
+  peer_response result;
   result.status = 200;
   result.store_reachable = hooks_.store_reachable();
   result.heartbeats_seen = hooks_.heartbeats_seen();
-  const named_leader leader = hooks_.leader();
+  const leader_identity leader = hooks_.leader();
   result.leader = leader.node;
   result.token = leader.token;
   return result;
 }
 
 void peer_network::handle(const net::request& request, const net::reply_fn& reply) {
-  if (request.method != "POST" || request.target != messages_path) return reply(refuse(404));
+  if (request.method != "POST" || request.target != messages_path)
+    return reply(error_response(404));
   const auto message = decode_message(request.body);
   if (!message) {
     spdlog::error("peer_message_malformed");
-    return reply(refuse(400));
+    return reply(error_response(400));
   }
   switch (message->kind) {
-    case kind::heartbeat:
-      return reply(reply_with(heartbeat_answer()));
-    case kind::job_announced: {
+    case message_kind::heartbeat:
+      return reply(encode_http_response(heartbeat_response()));
+    case message_kind::job_announced: {
       hooks_.job_announced(message->job);
-      answer acknowledgement;
+      peer_response acknowledgement;
       acknowledgement.status = 200;
-      return reply(reply_with(acknowledgement));
+      return reply(encode_http_response(acknowledgement));
     }
-    case kind::user:
-      hooks_.user(
-          {message->method, message->target, message->body},
-          [reply](const net::response& response) { reply(reply_with(to_answer(response))); });
+    case message_kind::user_request:
+      hooks_.handle_user_request({message->method, message->target, message->body},
+                                 [reply](const net::response& response) {
+                                   reply(encode_http_response(to_peer_response(response)));
+                                 });
       return;
   }
 }
@@ -143,20 +147,20 @@
                            net::reply_fn done) {
   const auto peer = peers_.find(node);
   if (peer == peers_.end()) return done({});
-  message forwarded = new_message(kind::user);
+  message forwarded = new_message(message_kind::user_request);
   forwarded.method = request.method;
   forwarded.target = request.target;
   forwarded.body = request.body;
   send(peer->second.address, forwarded, deadline,
-       [done = std::move(done)](const net::response& reply) { done(to_response(reply)); });
+       [done = std::move(done)](const net::response& reply) { done(to_user_response(reply)); });
 }
 
 void peer_network::announce(const node_name& node, const job_id& job) {
   const auto peer = peers_.find(node);
   if (peer == peers_.end()) return;
-  message announcement = new_message(kind::job_announced);
+  message announcement = new_message(message_kind::job_announced);
   announcement.job = job;
-  // A lost announcement costs little: the leader watches the store as well.
+  // There is no retry: the leader also watches the store, so a lost announcement does little harm.
   send(peer->second.address, announcement, announce_deadline, [](const net::response&) {});
 }
 
--- a/src/peers/peer_network.hpp
+++ b/src/peers/peer_network.hpp
@@ -12,38 +12,40 @@
 
 namespace gingerdrift::peers {
 
-/// A leader as a controller knows it; an empty name stands for none.
-struct named_leader {
+/// Identifies a leader and its term. An empty node name means that no leader is known.
+struct leader_identity {
   node_name node;
   fencing_token token;
 };
 
-/// What this controller knows of another one.
+/// The state of another controller, as observed by this one.
 struct peer_state {
   std::string address;
-  time_point last_seen{};             // when the last answered heartbeat was sent
-  bool unreachable = false;           // not heard lately, and the log says so
-  bool store_reachable = false;       // the key-value store answers it
-  std::uint64_t heartbeats_seen = 0;  // workers' heartbeats that it received lately
+  time_point last_seen{};             // when the last heartbeat that got a response was sent
+  bool unreachable = false;           // logged as unreachable, and no response since
+  bool store_reachable = false;       // whether the key-value store responds to the peer
+  std::uint64_t heartbeats_seen = 0;  // number of workers' heartbeats that it received recently
 };
 
-/// The controllers' connection to each other: heartbeats, forwarded users' requests and
-/// announcements of new jobs, as msgpack bodies over HTTP. To be used on one thread.
+/// Exchanges messages with the other controllers: heartbeats, forwarded users' requests and
+/// announcements of new jobs, as msgpack bodies over HTTP. Not thread-safe: to be used on one
+/// thread.
 class peer_network {
  public:
-  /// What the network asks of its owner and tells it.
+  /// The owner's callbacks.
   struct hooks {
-    /// Answers a user's request that a peer has forwarded.
-    std::function<void(const net::request&, net::reply_fn)> user;
-    /// A peer has stored a job.
+    /// Handles a user's request that a peer has forwarded.
+    std::function<void(const net::request&, net::reply_fn)> handle_user_request;
+    /// Called when a peer announces that it has stored a job.
     std::function<void(const job_id& job)> job_announced;
-    /// For answers to heartbeats: whether the key-value store answers this controller.
+    /// For responses to heartbeats: returns whether the key-value store responds to this
+    /// controller.
     std::function<bool()> store_reachable;
-    /// For answers to heartbeats: how many workers' heartbeats were received lately.
+    /// For responses to heartbeats: returns how many workers' heartbeats were received recently.
     std::function<std::uint64_t()> heartbeats_seen;
-    /// For answers to heartbeats: the leader as known here, with its fencing token.
-    std::function<named_leader()> leader;
-    /// A peer has named a leader.
+    /// For responses to heartbeats: returns the leader that this controller knows.
+    std::function<leader_identity()> leader;
+    /// Called when a peer has named a leader in its response to a heartbeat.
     std::function<void(const node_name& node, fencing_token token)> leader_observed;
   };
 
@@ -54,26 +56,27 @@
   peer_network(const peer_network&) = delete;
   peer_network& operator=(const peer_network&) = delete;
 
-  /// Sends the first heartbeats, and more each second.
+  /// Sends heartbeats to all peers, now and every second.
   void start();
-  /// The handler of the peers' listening address.
+  /// Handles a request that arrived at the listening address for peers.
   void handle(const net::request& request, const net::reply_fn& reply);
-  /// Passes a user's request on. Status 0: no answer from that node.
+  /// Forwards a user's request to another controller. Status 0 means that the node did not respond.
   void forward(const node_name& node, const net::request& request, duration deadline,
                net::reply_fn done);
-  /// Tells a peer that a job was stored. Losing this is harmless.
+  /// Notifies a peer that a job was stored. The loss of an announcement is harmless.
   void announce(const node_name& node, const job_id& job);
-  /// All other controllers.
+  /// Returns the state of all other controllers.
   const std::map<node_name, peer_state>& peers() const { return peers_; }
-  /// Whether the peer has answered one of the last few heartbeats.
+  /// Reports whether the peer has responded to one of the last few heartbeats.
   bool recently_seen(const peer_state& peer) const;
 
  private:
   void send_heartbeats();
-  void note_silence(const node_name& name, peer_state& peer) const;
-  void heartbeat_answered(const node_name& node, time_point sent, const net::response& reply);
-  answer heartbeat_answer() const;
-  message new_message(kind kind) const;
+  void detect_unreachable(const node_name& name, peer_state& peer) const;
+  void handle_heartbeat_response(const node_name& node, time_point sent,
+                                 const net::response& reply);
+  peer_response heartbeat_response() const;
+  message new_message(message_kind kind) const;
   void send(const std::string& address, const message& message, duration deadline,
             net::reply_fn done);
 
