--- a/src/dependencies/progress_lookup.cpp
+++ b/src/dependencies/progress_lookup.cpp
@@ -16,7 +16,7 @@
 constexpr std::size_t batch_size = 200;
 
 /// Returns a key that sorts before the job's final record and after those of all jobs with smaller
-/// ids, so that a page that starts after it begins with the job's record.
+/// ids, so that a page that starts after it begins with the job's record, if any.
 std::string list_start_key(const job_id& job) {
   constexpr char after_all_digits = '~';
   std::string key = job_store::final_key(job);
--- a/src/dependencies/tracker.cpp
+++ b/src/dependencies/tracker.cpp
@@ -116,9 +116,9 @@
   if (!effects.ready.empty() || !effects.priority_changed.empty()) owner_.dependencies_changed();
 }
 
-/// Makes a job ready, all of whose dependencies are stored as done; that never changes any more.
-/// The job's record includes this the next time it is written. A later leader that reads an older
-/// record derives it again.
+/// Makes a job ready. All its dependencies are stored as done, which is final. The job's record
+/// contains the ready time from its next write on; a later leader that reads an older record
+/// derives the readiness again.
 void tracker::mark_ready(const job_id& id) {
   job* job = jobs_.find(id);
   if (job == nullptr || !job->waiting() || !job->active()) return;
