--- a/tests/dependency_graph_test.cpp
+++ b/tests/dependency_graph_test.cpp
@@ -1,4 +1,4 @@
-// The graph of jobs that wait for others.
+// Tests of the dependency graph: readiness, cancellation and inherited priorities.
 #include "dependencies/graph.hpp"
 
 #include <gtest/gtest.h>
@@ -10,19 +10,19 @@
 using admission::priority;
 using dependencies::graph;
 using dependencies::job_progress;
-using names = std::vector<job_id>;
+using job_ids = std::vector<job_id>;
 
 TEST(dependency_graph, makes_a_diamond_ready_once_both_sides_are_done) {
   graph jobs;
   jobs.add("left", priority::low, {"root"});
   jobs.add("right", priority::low, {"root"});
   jobs.add("end", priority::low, {"left", "right"});
-  EXPECT_EQ(jobs.unknown(), names({"root"})) << "what waits is known to be unfinished";
-  EXPECT_EQ(jobs.set_progress("root", job_progress::done).ready, names({"left", "right"}));
+  EXPECT_EQ(jobs.unknown_jobs(), job_ids({"root"})) << "waiting jobs are known to be unfinished";
+  EXPECT_EQ(jobs.set_progress("root", job_progress::done).ready, job_ids({"left", "right"}));
   EXPECT_TRUE(jobs.set_progress("left", job_progress::done).ready.empty());
-  EXPECT_TRUE(jobs.waits("end"));
-  EXPECT_EQ(jobs.set_progress("right", job_progress::done).ready, names({"end"}));
-  EXPECT_EQ(jobs.waiting_jobs(), 0U);
+  EXPECT_TRUE(jobs.is_waiting("end"));
+  EXPECT_EQ(jobs.set_progress("right", job_progress::done).ready, job_ids({"end"}));
+  EXPECT_EQ(jobs.waiting_job_count(), 0U);
 }
 
 TEST(dependency_graph, cancels_every_descendant_once) {
@@ -31,82 +31,86 @@
   jobs.add("right", priority::low, {"root", "other"});
   jobs.add("end", priority::low, {"left", "right"});
   jobs.add("beside", priority::low, {"other"});
-  const auto changes = jobs.set_progress("root", job_progress::cancelled);
-  EXPECT_EQ(changes.cancelled, names({"left", "right", "end"}));
-  EXPECT_TRUE(jobs.waits("beside"));
-  EXPECT_EQ(jobs.waiting_jobs(), 1U);
-  EXPECT_EQ(jobs.set_progress("other", job_progress::done).ready, names({"beside"}));
+  const auto effects = jobs.set_progress("root", job_progress::cancelled);
+  EXPECT_EQ(effects.cancelled, job_ids({"left", "right", "end"}));
+  EXPECT_TRUE(jobs.is_waiting("beside"));
+  EXPECT_EQ(jobs.waiting_job_count(), 1U);
+  EXPECT_EQ(jobs.set_progress("other", job_progress::done).ready, job_ids({"beside"}));
 }
 
 TEST(dependency_graph, cancels_a_job_that_depends_on_a_cancelled_one) {
   graph jobs;
   jobs.add("first", priority::low, {"root", "live"});
-  EXPECT_EQ(jobs.set_progress("root", job_progress::cancelled).cancelled, names({"first"}));
+  EXPECT_EQ(jobs.set_progress("root", job_progress::cancelled).cancelled, job_ids({"first"}));
   jobs.add("keeps", priority::low, {"live"});
   jobs.add("late", priority::low, {"live", "root"});
-  EXPECT_EQ(jobs.set_progress("root", job_progress::cancelled).cancelled, names({"late"}));
-  EXPECT_TRUE(jobs.waits("keeps"));
+  EXPECT_EQ(jobs.set_progress("root", job_progress::cancelled).cancelled, job_ids({"late"}));
+  EXPECT_TRUE(jobs.is_waiting("keeps"));
 }
 
-TEST(dependency_graph, inherits_priorities_from_dependents_and_drops_them_again) {
+TEST(dependency_graph, updates_inherited_priorities_when_dependents_are_added_and_removed) {
   graph jobs;
   jobs.add("middle", priority::low, {"root"});
   EXPECT_EQ(jobs.inherited_priority("root"), priority::low);
   const auto raised = jobs.add("urgent", priority::high, {"middle"});
-  EXPECT_EQ(raised.priority_changed, names({"middle", "root"}));
+  EXPECT_EQ(raised.priority_changed, job_ids({"middle", "root"}));
   EXPECT_EQ(jobs.inherited_priority("root"), priority::high);
   EXPECT_EQ(jobs.inherited_priority("middle"), priority::high);
   EXPECT_TRUE(jobs.add("another", priority::standard, {"middle"}).priority_changed.empty())
-      << "nothing changes for those that have a higher one";
-  const auto fallen = jobs.remove("urgent");
-  EXPECT_EQ(fallen.priority_changed, names({"middle", "root"}));
+      << "a lower priority than the inherited one changes nothing";
+  const auto lowered = jobs.remove("urgent");
+  EXPECT_EQ(lowered.priority_changed, job_ids({"middle", "root"}));
   EXPECT_EQ(jobs.inherited_priority("root"), priority::standard);
 }
 
-// A new leader reads the records in the order of their names, which is no order of theirs.
-TEST(dependency_graph, passes_priorities_to_every_ancestor_in_whatever_order_jobs_are_read) {
-  struct read_job {
-    job_id name;
+// A new leader reads the records in the order of the job ids, which is unrelated to the order of
+// the dependencies.
+TEST(dependency_graph,
+     passes_priorities_to_every_ancestor_regardless_of_the_order_in_which_jobs_are_added) {
+  struct stored_job {
+    job_id id;
     priority level;
-    names dependencies;
+    job_ids dependencies;
   };
-  std::vector<read_job> jobs = {{"first", priority::low, {"root"}},
-                                {"left", priority::low, {"first"}},
-                                {"right", priority::standard, {"first"}},
-                                {"urgent", priority::high, {"left", "right"}}};
-  const auto by_name = [](const read_job& a, const read_job& b) { return a.name < b.name; };
-  std::sort(jobs.begin(), jobs.end(), by_name);
+  std::vector<stored_job> jobs = {{"first", priority::low, {"root"}},
+                                  {"left", priority::low, {"first"}},
+                                  {"right", priority::standard, {"first"}},
+                                  {"urgent", priority::high, {"left", "right"}}};
+  const auto by_id = [](const stored_job& a, const stored_job& b) { return a.id < b.id; };
+  std::sort(jobs.begin(), jobs.end(), by_id);
   do {
-    graph read;
-    for (const auto& job : jobs) read.add(job.name, job.level, job.dependencies);
-    for (const job_id& name : std::vector<job_id>{"root", "first", "left", "right"})
-      EXPECT_EQ(read.inherited_priority(name), priority::high) << name;
-    read.remove("urgent");
-    EXPECT_EQ(read.inherited_priority("root"), priority::standard);
-    EXPECT_EQ(read.inherited_priority("left"), priority::low);
-  } while (std::next_permutation(jobs.begin(), jobs.end(), by_name));
+    graph loaded;
+    for (const auto& job : jobs) loaded.add(job.id, job.level, job.dependencies);
+    for (const job_id& id : std::vector<job_id>{"root", "first", "left", "right"})
+      EXPECT_EQ(loaded.inherited_priority(id), priority::high) << id;
+    loaded.remove("urgent");
+    EXPECT_EQ(loaded.inherited_priority("root"), priority::standard);
+    EXPECT_EQ(loaded.inherited_priority("left"), priority::low);
+  } while (std::next_permutation(jobs.begin(), jobs.end(), by_id));
 }
 
-TEST(dependency_graph, knows_no_job_to_be_certain_while_an_ancestor_is_unknown) {
+TEST(dependency_graph, reports_ancestors_as_not_known_while_one_is_unknown_or_excluded) {
   graph jobs;
   jobs.add("middle", priority::low, {"root"});
   jobs.add("end", priority::low, {"middle"});
-  const auto none = [](const job_id&) { return false; };
-  EXPECT_FALSE(jobs.ancestors_known("end", none)) << "its grandparent may be cancelled";
+  const auto nothing_excluded = [](const job_id&) { return false; };
+  EXPECT_FALSE(jobs.all_ancestors_known("end", nothing_excluded))
+      << "the indirect dependency may be cancelled";
   jobs.set_progress("root", job_progress::unfinished);
-  EXPECT_TRUE(jobs.ancestors_known("end", none));
-  const auto root = [](const job_id& name) { return name == "root"; };
-  EXPECT_FALSE(jobs.ancestors_known("end", root)) << "its cancellation is under way";
-  EXPECT_TRUE(jobs.unknown().empty());
+  EXPECT_TRUE(jobs.all_ancestors_known("end", nothing_excluded));
+  const auto root_excluded = [](const job_id& id) { return id == "root"; };
+  EXPECT_FALSE(jobs.all_ancestors_known("end", root_excluded))
+      << "the indirect dependency is excluded";
+  EXPECT_TRUE(jobs.unknown_jobs().empty());
 }
 
-TEST(dependency_graph, drops_jobs_that_nobody_waits_for) {
+TEST(dependency_graph, drops_jobs_without_dependents) {
   graph jobs;
   jobs.add("end", priority::high, {"root"});
   EXPECT_TRUE(jobs.has_dependents("root"));
   jobs.remove("end");
   EXPECT_FALSE(jobs.has_dependents("root"));
-  EXPECT_TRUE(jobs.unknown().empty());
+  EXPECT_TRUE(jobs.unknown_jobs().empty());
 }
 
 }  // namespace gingerdrift::testing
