--- a/src/api/codec.cpp
+++ b/src/api/codec.cpp
@@ -118,7 +118,7 @@
 
 job_id read_id(const json& record) {
   auto text = read_text(record, job_fields::id);
-  if (!valid_id(text)) throw malformed_job(job_fields::id, "must look like run-000412");
+  if (!is_valid_job_id(text)) throw malformed_job(job_fields::id, "must look like run-000412");
   return job_id(std::move(text));
 }
 
@@ -176,7 +176,7 @@
   std::vector<job_id> dependencies;
   std::set<std::string> seen;
   for (const auto& name : *list) {
-    if (!name.is_string() || !valid_id(name.get_ref<const std::string&>()))
+    if (!name.is_string() || !is_valid_job_id(name.get_ref<const std::string&>()))
       throw malformed_job(field, "must be a list of job ids, or null");
     if (seen.insert(name.get<std::string>()).second)
       dependencies.emplace_back(name.get<std::string>());
@@ -227,20 +227,20 @@
 
 parsed_job malformed_because(const std::string& why) {
   parsed_job malformed;
-  malformed.malformation = why;
+  malformed.format_error = why;
   return malformed;
 }
 
 }  // namespace
 
-bool valid_id(const std::string& id) {
+bool is_valid_job_id(const std::string& id) {
   if (id.rfind(id_prefix, 0) != 0) return false;
   const auto digits = id.size() - id_prefix.size();
   if (digits < 1 || digits > max_id_digits) return false;
   return id.find_first_not_of("0123456789", id_prefix.size()) == std::string::npos;
 }
 
-parsed_job read_job(const std::string& text) {
+parsed_job parse_submission(const std::string& text) {
   try {
     const json record = parse_object(text);
     parsed_job job;
@@ -267,7 +267,7 @@
       .dump();
 }
 
-std::string write_error(const std::string& why) {
+std::string encode_error(const std::string& why) {
   return json({{state_fields::error, why}}).dump();
 }
 
--- a/src/api/http_api.cpp
+++ b/src/api/http_api.cpp
@@ -21,7 +21,7 @@
                    std::vector<config::team> teams, node_services& services)
     : runtime_(runtime),
       services_(services),
-      terminal_states_(options.final_cache),
+      terminal_states_(options.terminal_cache_capacity),
       states_(runtime, store, terminal_states_, options.cancellation),
       submissions_({.runtime = runtime,
                     .store = store,
@@ -54,7 +54,7 @@
   std::string name = path.substr(jobs_path.size() + 1);
   const bool cancels = name.size() > cancel_suffix.size() && name.ends_with(cancel_suffix);
   if (cancels) name.resize(name.size() - cancel_suffix.size());
-  if (!valid_id(name)) return reply_not_found(reply);
+  if (!is_valid_job_id(name)) return reply_not_found(reply);
   if (message.method != (cancels ? "POST" : "GET")) return reply_wrong_method(reply);
   const job_request request{job_id(name), message, forwarded};
   if (cancels) {
@@ -109,7 +109,7 @@
     if (state.status == 404) return reply(state);
     if (const auto terminal = terminal_states_.find(id))
       return reply_state_name(id, *terminal, reply);
-    services_.job_submitted(id);
+    services_.notify_leader_of_job(id);
     retry_later(reply, retry_reason::just_submitted);
   }));
 }
--- a/src/api/http_api.hpp
+++ b/src/api/http_api.hpp
@@ -15,7 +15,7 @@
 /// How a controller's users' HTTP API is set up.
 struct options {
   submission_options submissions;
-  std::uint32_t final_cache = 16384;  // terminal states that are cached
+  std::uint32_t terminal_cache_capacity = 16384;  // terminal states that are cached
   job_store::cancellation_acknowledgement cancellation =
       job_store::cancellation_acknowledgement::when_stored;
   node_name node;  // this controller
@@ -36,7 +36,7 @@
   /// again.
   void handle(const net::request& message, bool forwarded, const net::reply_fn& reply);
   /// A job is over, as its stored record says.
-  void remember(const job_id& id, const job_store::terminal_state& state) {
+  void cache_terminal_state(const job_id& id, const job_store::terminal_state& state) {
     terminal_states_.insert(id, state);
   }
   /// How the job ended; nothing: not known here.
--- a/src/api/node_services.hpp
+++ b/src/api/node_services.hpp
@@ -28,7 +28,7 @@
   /// Leader only. Calls back once the job's final record is stored, or could not be.
   virtual void cancel(const job_id& job, cancelled_fn done) = 0;
   /// A job was stored, here or lately: the leader should read it.
-  virtual void job_submitted(const job_id& job) = 0;
+  virtual void notify_leader_of_job(const job_id& job) = 0;
   /// Passes a request on to the leader. Status 0: no leader is known, or it did not answer.
   virtual void forward_to_leader(const net::request& message, net::reply_fn done) = 0;
   /// Passes a request on to a controller whose store works. Status 0: there is none, or it did not
--- a/src/api/responses.cpp
+++ b/src/api/responses.cpp
@@ -48,7 +48,7 @@
   constexpr auto retry_after = seconds(1);
   const char* text = text_of(reason);
   spdlog::debug("retry_requested reason=\"{}\"", text);
-  reply({503, write_error(text), retry_after, true});
+  reply({503, encode_error(text), retry_after, true});
 }
 
 void reply_json(const net::reply_fn& reply, int status, std::string body) {
@@ -56,7 +56,7 @@
 }
 
 void reply_error(const net::reply_fn& reply, int status, const std::string& why) {
-  reply_json(reply, status, write_error(why));
+  reply_json(reply, status, encode_error(why));
 }
 
 const char* state_name(const job_store::job_state& state) {
--- a/src/api/submissions.cpp
+++ b/src/api/submissions.cpp
@@ -46,10 +46,10 @@
       writer_(store_, options.sizes, std::move(node)) {}
 
 void submissions::handle(const net::request& message, bool forwarded, const net::reply_fn& reply) {
-  parsed_job parsed = read_job(message.body);
-  if (parsed.malformation) {
-    spdlog::debug("submission_rejected reason=\"{}\" body={}", *parsed.malformation, message.body);
-    return reply_error(reply, malformed_status, *parsed.malformation);
+  parsed_job parsed = parse_submission(message.body);
+  if (parsed.format_error) {
+    spdlog::debug("submission_rejected reason=\"{}\" body={}", *parsed.format_error, message.body);
+    return reply_error(reply, malformed_status, *parsed.format_error);
   }
   const job_id id = parsed.spec.id;
   if (const auto state = terminal_states_.find(id)) return reply_state_name(id, *state, reply);
@@ -137,7 +137,7 @@
   spdlog::debug("job_accepted job={} lane={} tasks={} dependencies={}", spec.id, spec.lane,
                 spec.tasks, submission->dependencies.size());
   acceptance_.remember(spec.id);
-  services_.job_submitted(spec.id);
+  services_.notify_leader_of_job(spec.id);
   reply_json(submission->reply, accepted_status, write_state(spec.id, "pending"));
 }
 
--- a/src/daemon/controller.cpp
+++ b/src/daemon/controller.cpp
@@ -63,7 +63,7 @@
   const auto sizes =
       kvstore::writable_sizes(platform_.state_limits, platform_.announced_state_limits);
   return {.submissions = {rules_.waiting_submissions, sizes},
-          .final_cache = rules_.final_cache,
+          .terminal_cache_capacity = rules_.final_cache,
           .cancellation = leader::acknowledgement_of_cancellations(platform_),
           .node = platform_.node};
 }
@@ -110,8 +110,9 @@
   return {
       .deposed = [this] { elector_.superseded(); },
       .lease_valid = [this] { return elector_.lease_valid(); },
-      .finished = [this](const job_id& id,
-                         const job_store::terminal_state& end) { api_.remember(id, end); },
+      .finished = [this](
+                      const job_id& id,
+                      const job_store::terminal_state& end) { api_.cache_terminal_state(id, end); },
       .cached_terminal_state = [this](const job_id& id) { return api_.cached_terminal_state(id); }};
 }
 
@@ -152,7 +153,7 @@
 }
 
 void controller::fetch_announced_job(const job_id& job) {
-  if (is_leader() && api::valid_id(job.str())) term_->fetch_job(job);
+  if (is_leader() && api::is_valid_job_id(job.str())) term_->fetch_job(job);
 }
 
 /// Whether a peer was heard lately. A node that is no peer, like this one itself, counts as heard.
@@ -177,7 +178,7 @@
   term_->cancel(job, std::move(done));
 }
 
-void controller::job_submitted(const job_id& job) {
+void controller::notify_leader_of_job(const job_id& job) {
   if (is_leader()) {
     term_->fetch_job(job);
   } else if (!elector_.leader().node.empty()) {
--- a/src/daemon/controller.hpp
+++ b/src/daemon/controller.hpp
@@ -43,7 +43,7 @@
   // What the users' interface needs.
   std::optional<job_store::job_state> state_of(const job_id& job) override;
   void cancel(const job_id& job, cancelled_fn done) override;
-  void job_submitted(const job_id& job) override;
+  void notify_leader_of_job(const job_id& job) override;
   void forward_to_leader(const net::request& message, net::reply_fn done) override;
   void forward_to_peer_with_store(const net::request& message, net::reply_fn done) override;
   bool healthy() const override;
--- a/src/daemon/heartbeat_router.cpp
+++ b/src/daemon/heartbeat_router.cpp
@@ -31,7 +31,7 @@
 
 void heartbeat_router::handle(const net::request& message, const net::reply_fn& reply) {
   if (message.method != "POST") {
-    answer(reply, status_method_not_allowed, api::write_error("method not allowed"));
+    answer(reply, status_method_not_allowed, api::encode_error("method not allowed"));
     return;
   }
   const stopwatch watch(metrics_.heartbeat_time);
@@ -65,7 +65,7 @@
   auto heartbeat = workers::decode_heartbeat(message.body);
   if (!heartbeat) {
     spdlog::error("heartbeat_malformed");
-    answer(reply, status_bad_request, api::write_error("malformed report"));
+    answer(reply, status_bad_request, api::encode_error("malformed report"));
     return;
   }
   ++metrics_.heartbeats;
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -20,7 +20,7 @@
   job.tasks = 5;
   return json::parse(job.body());
 }
-bool well_formed(const std::string& text) { return !api::read_job(text).malformation; }
+bool well_formed(const std::string& text) { return !api::parse_submission(text).format_error; }
 bool well_formed_with(const std::string& field, const json& value) {
   json body = valid_submission();
   body[field] = value;
@@ -43,7 +43,7 @@
 job_store::job large_array() {
   json body = valid_submission();
   body["pieces"] = 100000;
-  job_store::job job(api::read_job(body.dump()).spec, 0, 48);
+  job_store::job job(api::parse_submission(body.dump()).spec, 0, 48);
   for (std::uint32_t task = 0; task < 90000; ++task) {
     if (task % 7 != 0) job.restore_done(task, task);
   }
@@ -85,7 +85,8 @@
     json body = valid_submission();
     body["shape"] = gang ? "ensemble" : "sweep";
     body[field] = value;
-    return api::find_rejection(api::read_job(body.dump()).spec, teams(), {machine_type_in({"a"})});
+    return api::find_rejection(api::parse_submission(body.dump()).spec, teams(),
+                               {machine_type_in({"a"})});
   };
   using api::rejection;
   EXPECT_EQ(rejection_of("crew", "red"), std::nullopt);
@@ -108,7 +109,7 @@
                              const std::vector<std::string>& zones) {
       body["together"] = one_zone;
       body["yard"] = zone == nullptr ? json() : json(zone);
-      return !api::find_rejection(api::read_job(body.dump()).spec, teams(),
+      return !api::find_rejection(api::parse_submission(body.dump()).spec, teams(),
                                   {machine_type_in(zones)});
     };
     EXPECT_TRUE(may_run(false, nullptr, {"a", "b"}));
--- a/tests/job_state_test.cpp
+++ b/tests/job_state_test.cpp
@@ -66,7 +66,7 @@
   bool is_leader() const override { return memory.has_value(); }
   std::optional<job_store::job_state> state_of(const job_id&) override { return memory; }
   void cancel(const job_id&, cancelled_fn done) override { done(std::nullopt); }
-  void job_submitted(const job_id&) override {}
+  void notify_leader_of_job(const job_id&) override {}
   void forward_to_leader(const net::request& message, net::reply_fn done) override {
     runtime.call("leader:2", message, milliseconds(1200), std::move(done));
   }
--- a/tests/upgrade_formats_test.cpp
+++ b/tests/upgrade_formats_test.cpp
@@ -26,8 +26,8 @@
 }
 
 job_store::job accepted(std::uint32_t tasks, bool gang = false) {
-  return job_store::job_announced(api::read_job(submission(tasks, gang).body()).spec, 1234567,
-                                  value_bytes);
+  return job_store::job_announced(api::parse_submission(submission(tasks, gang).body()).spec,
+                                  1234567, value_bytes);
 }
 
 void add_attempts(job_store::job& job) {
