--- a/src/api/acceptance_check.cpp
+++ b/src/api/acceptance_check.cpp
@@ -8,12 +8,13 @@
 namespace gingerdrift::api {
 
 namespace {
-/// Users wait for 5 s; a list that takes longer than this is checked further when they ask again.
+/// Users wait 5 s for a response. A list that takes longer than this limit to check is answered
+/// with a request to retry, and the retry continues the check.
 constexpr duration max_check_time = seconds(2);
 constexpr std::size_t max_remembered = 16384;
-/// The store's limits allow for so many conditions with each operation.
+/// The state service accepts this many conditions per operation that a transaction may have.
 constexpr std::uint32_t conditions_per_operation = 4;
-/// One on the head, one on the final record.
+/// One condition on the head and one on the final record.
 constexpr std::uint32_t conditions_per_job = 2;
 }  // namespace
 
@@ -46,22 +47,24 @@
   if (unchecked.empty()) return check->done(verdict::all_accepted);
   if (runtime_.now() >= check->deadline) return check->done(verdict::undecided);
   const std::size_t batch_size = std::min(max_batch_size_, unchecked.size());
-  std::vector<kvstore::condition> absent;
+  std::vector<kvstore::condition> absence_conditions;
   for (std::size_t i = 0; i < batch_size; ++i) {
-    absent.push_back({job_store::head_key(unchecked[i]), {}});
-    absent.push_back({job_store::final_key(unchecked[i]), {}});
+    absence_conditions.push_back({job_store::head_key(unchecked[i]), {}});
+    absence_conditions.push_back({job_store::final_key(unchecked[i]), {}});
   }
-  store_.compare_for_user(absent,
-                          guard_.wrap([this, check, batch_size](const kvstore::result& answer) {
-                            batch_answered(check, batch_size, answer);
-                          }));
+  store_.compare_for_user(
+      absence_conditions,
+      guard_.wrap([this, check, batch_size](const kvstore::result& store_result) {
+        handle_batch_result(check, batch_size, store_result);
+      }));
 }
 
-void acceptance_check::batch_answered(const std::shared_ptr<pending_check>& check,
-                                      std::size_t batch_size, const kvstore::result& answer) {
-  if (answer.over_rate()) return check->done(verdict::undecided);
-  if (!answer.ok() && !answer.conflict()) return check->done(verdict::unreachable);
-  const std::set<std::string> present_keys(answer.failed.begin(), answer.failed.end());
+void acceptance_check::handle_batch_result(const std::shared_ptr<pending_check>& check,
+                                           std::size_t batch_size,
+                                           const kvstore::result& store_result) {
+  if (store_result.over_rate()) return check->done(verdict::undecided);
+  if (!store_result.ok() && !store_result.conflict()) return check->done(verdict::unreachable);
+  const std::set<std::string> present_keys(store_result.failed.begin(), store_result.failed.end());
   for (std::size_t i = 0; i < batch_size; ++i) {
     const job_id& job = check->unchecked[i];
     const bool was_accepted = present_keys.count(job_store::head_key(job)) != 0 ||
--- a/src/api/acceptance_check.hpp
+++ b/src/api/acceptance_check.hpp
@@ -13,50 +13,54 @@
 
 namespace gingerdrift::api {
 
-/// Asks the store which jobs were ever accepted.
+/// Checks in the state service whether jobs were ever accepted.
 ///
-/// Each question is a transaction that only compares: it fails on the keys that exist, so that head
-/// and final record of many jobs are looked at in one moment. That a job was accepted stays true
-/// and is remembered; that it was not is never remembered.
+/// Each batch is a transaction with conditions and no operations. It requires the head and the
+/// final record of each job to be absent, and its result lists the keys that exist, so that the
+/// records of many jobs are checked atomically. Once accepted, a job counts as accepted forever, so
+/// positive results are cached. Negative results are never cached, because the job may be accepted
+/// later.
 class acceptance_check {
  public:
-  /// What became of a check.
+  /// The result of a check.
   enum class verdict : std::uint8_t {
     all_accepted,
-    not_accepted,  // at least one job
-    undecided,     // for lack of time or of call budget: ask again
-    unreachable,   // the store does not answer
+    not_accepted,  // at least one of the jobs was never accepted
+    undecided,     // time or request budget ran out before the check was complete; to be retried
+    unreachable,   // the state service does not answer
   };
   using verdict_fn = std::function<void(verdict)>;
 
-  /// `txn_operations`: the store's limit, which bounds conditions as well.
+  /// `txn_operations`: the state service's limit on operations per transaction, from which its
+  /// limit on conditions follows.
   acceptance_check(net::runtime& runtime, kvstore::client& store, std::uint32_t txn_operations);
   ~acceptance_check() = default;
   acceptance_check(const acceptance_check&) = delete;
   acceptance_check& operator=(const acceptance_check&) = delete;
 
-  /// Calls back with whether all jobs were accepted. A list too long to be checked within a moment
-  /// is undecided; what was found by then shortens the next try.
+  /// Calls `done` with whether all jobs were accepted. If the list is too long to be checked within
+  /// the time limit, the verdict is `undecided`. The jobs found accepted by then are cached, so
+  /// that a retry has fewer jobs left to check.
   void check(std::vector<job_id> jobs, verdict_fn done);
-  /// The job is known to be accepted.
+  /// Caches that the job was accepted.
   void remember(const job_id& job);
 
  private:
-  /// A check under way.
+  /// A check that has not called back yet.
   struct pending_check {
     std::vector<job_id> unchecked;
     time_point deadline;
     verdict_fn done;
   };
   void check_next_batch(const std::shared_ptr<pending_check>& check);
-  void batch_answered(const std::shared_ptr<pending_check>& check, std::size_t batch_size,
-                      const kvstore::result& answer);
+  void handle_batch_result(const std::shared_ptr<pending_check>& check, std::size_t batch_size,
+                           const kvstore::result& store_result);
 
   net::runtime& runtime_;
   kvstore::client& store_;
   std::size_t max_batch_size_;
   std::unordered_set<job_id> accepted_;
-  std::list<job_id> accepted_order_;  // oldest first, to forget it first
+  std::list<job_id> accepted_order_;  // insertion order; the oldest is evicted first
   callback_guard guard_;
 };
 
--- a/src/api/http_api.cpp
+++ b/src/api/http_api.cpp
@@ -10,7 +10,7 @@
 const std::string jobs_path = "/work";
 const std::string cancel_suffix = "/withdraw";
 
-void reply_wrong_method(const net::reply_fn& reply) {
+void reply_method_not_allowed(const net::reply_fn& reply) {
   reply_error(reply, 405, "method not allowed");
 }
 
@@ -22,25 +22,26 @@
     : runtime_(runtime),
       services_(services),
       terminal_states_(options.terminal_cache_capacity),
-      states_(runtime, store, terminal_states_, options.cancellation),
+      state_reader_(runtime, store, terminal_states_, options.cancellation),
       submissions_({.runtime = runtime,
                     .store = store,
                     .services = services,
                     .terminal_states = terminal_states_,
-                    .states = states_},
+                    .state_reader = state_reader_},
                    options.submissions, std::move(teams), options.node) {}
 
 void http_api::handle(const net::request& message, bool forwarded, const net::reply_fn& reply) {
   const std::string path = message.target.substr(0, message.target.find('?'));
   if (path == health_path) {
-    if (message.method != "GET") return reply_wrong_method(reply);
-    if (!services_.healthy()) return retry_later(reply, retry_reason::state_service_silent_here);
+    if (message.method != "GET") return reply_method_not_allowed(reply);
+    if (!services_.healthy())
+      return retry_later(reply, retry_reason::state_service_unreachable_here);
     reply_json(reply, 200, R"({"status":"ok"})");
   } else if (path == status_path) {
-    if (message.method != "GET") return reply_wrong_method(reply);
+    if (message.method != "GET") return reply_method_not_allowed(reply);
     reply_json(reply, 200, services_.status());
   } else if (path == jobs_path) {
-    if (message.method != "POST") return reply_wrong_method(reply);
+    if (message.method != "POST") return reply_method_not_allowed(reply);
     submissions_.handle(message, forwarded, reply);
   } else if (path.starts_with(jobs_path + "/")) {
     handle_job(path, message, forwarded, reply);
@@ -52,12 +53,12 @@
 void http_api::handle_job(const std::string& path, const net::request& message, bool forwarded,
                           const net::reply_fn& reply) {
   std::string name = path.substr(jobs_path.size() + 1);
-  const bool cancels = name.size() > cancel_suffix.size() && name.ends_with(cancel_suffix);
-  if (cancels) name.resize(name.size() - cancel_suffix.size());
+  const bool is_cancellation = name.size() > cancel_suffix.size() && name.ends_with(cancel_suffix);
+  if (is_cancellation) name.resize(name.size() - cancel_suffix.size());
   if (!is_valid_job_id(name)) return reply_not_found(reply);
-  if (message.method != (cancels ? "POST" : "GET")) return reply_wrong_method(reply);
+  if (message.method != (is_cancellation ? "POST" : "GET")) return reply_method_not_allowed(reply);
   const job_request request{job_id(name), message, forwarded};
-  if (cancels) {
+  if (is_cancellation) {
     cancel(request, reply);
   } else {
     read_state(request, reply);
@@ -69,27 +70,27 @@
   if (const auto state = terminal_states_.find(id)) return reply_state(id, *state, reply);
   if (services_.is_leader()) {
     const auto state = services_.state_of(id);
-    // What the memory can't settle, the state service can.
+    // If the leader's memory has no definite state, the records in the state service do.
     if (!state || std::holds_alternative<job_store::indeterminate>(*state))
-      return states_.read(id, reply);
+      return state_reader_.read(id, reply);
     return reply_state(id, *state, reply);
   }
   if (request.forwarded) return retry_later(reply, retry_reason::not_leader);
-  const auto leader_answered = [this, id, sent = runtime_.now(),
-                                reply](const net::response& leader_reply) {
-    const bool answered = leader_reply.status == 200 || leader_reply.status == 404;
-    const bool outdated = runtime_.now() - sent > longest_answer_age;
-    if (answered && !outdated) return reply(leader_reply);
-    states_.read(id, reply);
+  const auto handle_leader_reply = [this, id, sent = runtime_.now(),
+                                    reply](const net::response& leader_reply) {
+    const bool is_definite = leader_reply.status == 200 || leader_reply.status == 404;
+    const bool is_outdated = runtime_.now() - sent > max_response_age;
+    if (is_definite && !is_outdated) return reply(leader_reply);
+    state_reader_.read(id, reply);
   };
-  services_.forward_to_leader(request.message, guard_.wrap(leader_answered));
+  services_.forward_to_leader(request.message, guard_.wrap(handle_leader_reply));
 }
 
 void http_api::cancel(const job_request& request, const net::reply_fn& reply) {
   const job_id& id = request.id;
   if (const auto state = terminal_states_.find(id)) return reply_state_name(id, *state, reply);
   if (services_.is_leader()) {
-    if (!services_.state_of(id)) return cancel_unknown(id, reply);
+    if (!services_.state_of(id)) return cancel_job_not_in_memory(id, reply);
     services_.cancel(id, [id, reply](std::optional<job_store::terminal_state> state) {
       if (!state) return retry_later(reply, retry_reason::cancellation_not_confirmed);
       reply_state_name(id, *state, reply);
@@ -103,9 +104,10 @@
   });
 }
 
-/// Not in the leader's memory: over, never submitted, or so new that it has yet to be read.
-void http_api::cancel_unknown(const job_id& id, const net::reply_fn& reply) {
-  states_.read(id, guard_.wrap([this, id, reply](const net::response& state) {
+/// Handles the cancellation of a job that is not in the leader's memory: the job has ended, was
+/// never submitted, or is so new that the leader has not read it yet.
+void http_api::cancel_job_not_in_memory(const job_id& id, const net::reply_fn& reply) {
+  state_reader_.read(id, guard_.wrap([this, id, reply](const net::response& state) {
     if (state.status == 404) return reply(state);
     if (const auto terminal = terminal_states_.find(id))
       return reply_state_name(id, *terminal, reply);
--- a/src/api/http_api.hpp
+++ b/src/api/http_api.hpp
@@ -12,40 +12,43 @@
 
 namespace gingerdrift::api {
 
-/// How a controller's users' HTTP API is set up.
+/// Options of the HTTP API for users.
 struct options {
   submission_options submissions;
-  std::uint32_t terminal_cache_capacity = 16384;  // terminal states that are cached
+  std::uint32_t terminal_cache_capacity = 16384;  // maximum number of cached terminal states
   job_store::cancellation_acknowledgement cancellation =
       job_store::cancellation_acknowledgement::when_stored;
-  node_name node;  // this controller
+  node_name node;  // name of this controller
 };
 
-/// The users' HTTP API, the same on every controller: routes requests and answers them, from the
-/// leader's memory, by way of the leader, or from the state service.
+/// The HTTP API for users, which every controller serves.
+///
+/// Routes requests by path and method, and answers them from the leader's memory, by forwarding
+/// them to the leader, or from the state service.
 class http_api {
  public:
-  /// `teams`: those that may submit, with their limits. `services` has to outlive the API.
+  /// `teams`: the teams that may submit jobs, with their limits. `services` has to outlive the API.
   http_api(net::runtime& runtime, kvstore::client& store, const options& options,
            std::vector<config::team> teams, node_services& services);
   ~http_api() = default;
   http_api(const http_api&) = delete;
   http_api& operator=(const http_api&) = delete;
 
-  /// Answers a request, at once or later. `forwarded`: it comes from a peer and is not passed on
-  /// again.
+  /// Handles a request and replies, within this call or later. `forwarded`: the request comes from
+  /// a peer and must not be forwarded again.
   void handle(const net::request& message, bool forwarded, const net::reply_fn& reply);
-  /// A job is over, as its stored record says.
+  /// Caches the terminal state of a job. `state` must come from the job's stored record.
   void cache_terminal_state(const job_id& id, const job_store::terminal_state& state) {
     terminal_states_.insert(id, state);
   }
-  /// How the job ended; nothing: not known here.
+  /// Returns how the job ended, or nothing if its terminal state is not in the cache.
   std::optional<job_store::terminal_state> cached_terminal_state(const job_id& id) const {
     return terminal_states_.find(id);
   }
 
  private:
-  /// A request about one job.
+  /// A request about a single job. Valid only during the call that handles it, because it refers
+  /// to the message.
   struct job_request {
     job_id id;
     const net::request& message;
@@ -55,12 +58,12 @@
                   const net::reply_fn& reply);
   void read_state(const job_request& request, const net::reply_fn& reply);
   void cancel(const job_request& request, const net::reply_fn& reply);
-  void cancel_unknown(const job_id& id, const net::reply_fn& reply);
+  void cancel_job_not_in_memory(const job_id& id, const net::reply_fn& reply);
 
   net::runtime& runtime_;
   node_services& services_;
   terminal_state_cache terminal_states_;
-  job_state_reader states_;
+  job_state_reader state_reader_;
   submissions submissions_;
   callback_guard guard_;
 };
--- a/src/api/job_state_reader.cpp
+++ b/src/api/job_state_reader.cpp
@@ -17,42 +17,50 @@
       cancellation_(cancellation) {}
 
 void job_state_reader::read_key(const std::string& key, const net::reply_fn& reply,
-                                present_fn present, absent_fn absent) {
-  const auto answered = [this, reply, present = std::move(present),
-                         absent = std::move(absent)](const kvstore::result& answer) {
-    if (answer.has_entry()) return present(answer);
-    if (!answer.not_found()) return retry_later(reply, retry_reason::state_service_silent);
-    if (outdated(answer)) return retry_later(reply, retry_reason::record_outdated);
-    absent();
+                                present_fn on_present, absent_fn on_absent) {
+  const auto handle_result = [this, reply, on_present = std::move(on_present),
+                              on_absent =
+                                  std::move(on_absent)](const kvstore::result& store_result) {
+    if (store_result.has_entry()) return on_present(store_result);
+    if (!store_result.not_found())
+      return retry_later(reply, retry_reason::state_service_unreachable);
+    if (is_outdated(store_result)) return retry_later(reply, retry_reason::record_outdated);
+    on_absent();
   };
-  store_.get_for_user(key, guard_.wrap(answered));
+  store_.get_for_user(key, guard_.wrap(handle_result));
 }
 
-/// What a reading shows was so when it was asked for. It may have lain here while the process stood
-/// still; all but a final state may have changed meanwhile, and others may have told so.
-bool job_state_reader::outdated(const kvstore::result& reading) const {
-  return runtime_.now() - reading.sent > longest_answer_age;
+/// Reports whether a result is too old to answer from. A result reflects the state of the key at
+/// some time after the request was sent. If the process stalled before it handled the result, any
+/// state except a terminal one may have changed since, and other controllers may already have shown
+/// users the newer state.
+bool job_state_reader::is_outdated(const kvstore::result& read_result) const {
+  return runtime_.now() - read_result.sent > max_response_age;
 }
 
-/// The final record first: it never changes, whatever else there is. Where there is none, the head;
-/// and where that is missing too, the job has moved between the two readings or was never accepted.
+/// Reads the final record first, because it never changes. If there is none, reads the head. If the
+/// head is missing too, either the final record replaced it between the two reads or the job was
+/// never accepted, so the final record is read once more.
 void job_state_reader::read(const job_id& id, const net::reply_fn& reply) {
   read_final(id, reply, [this, id, reply] { read_head(id, reply); });
 }
 
-void job_state_reader::read_final(const job_id& id, const net::reply_fn& reply, absent_fn absent) {
+void job_state_reader::read_final(const job_id& id, const net::reply_fn& reply,
+                                  absent_fn on_absent) {
   read_key(
       job_store::final_key(id), reply,
-      [this, id, reply](const kvstore::result& reading) {
-        reply_from_final(id, reading.entries.front(), reply);
+      [this, id, reply](const kvstore::result& read_result) {
+        reply_from_final(id, read_result.entries.front(), reply);
       },
-      std::move(absent));
+      std::move(on_absent));
 }
 
 void job_state_reader::read_head(const job_id& id, const net::reply_fn& reply) {
   read_key(
       job_store::head_key(id), reply,
-      [this, id, reply](const kvstore::result& reading) { reply_from_head(id, reading, reply); },
+      [this, id, reply](const kvstore::result& read_result) {
+        reply_from_head(id, read_result, reply);
+      },
       [this, id, reply] { read_final_again(id, reply); });
 }
 
@@ -60,10 +68,10 @@
   read_final(id, reply, [reply] { reply_error(reply, 404, "no such job"); });
 }
 
-void job_state_reader::reply_from_head(const job_id& id, const kvstore::result& reading,
+void job_state_reader::reply_from_head(const job_id& id, const kvstore::result& read_result,
                                        const net::reply_fn& reply) const {
-  if (outdated(reading)) return retry_later(reply, retry_reason::record_outdated);
-  const kvstore::entry& head = reading.entries.front();
+  if (is_outdated(read_result)) return retry_later(reply, retry_reason::record_outdated);
+  const kvstore::entry& head = read_result.entries.front();
   try {
     const auto record = job_store::read_head(head.value, head.version);
     if (record.spec().id != id) throw std::invalid_argument("it names another job");
@@ -81,17 +89,19 @@
     spdlog::error("record_malformed kind=final key={}", record.key);
     return retry_later(reply, retry_reason::record_unreadable);
   }
-  check_no_head(id, *state, reply);
+  reply_unless_head_exists(id, *state, reply);
 }
 
-/// The write that brings a final record takes the head away. Both at once is nothing that this
-/// service writes, and neither is trusted then.
-void job_state_reader::check_no_head(const job_id& id, const job_store::terminal_state& state,
-                                     const net::reply_fn& reply) {
+/// Replies with the terminal state unless the job still has a head. The transaction that writes a
+/// final record also deletes the head, so this service never leaves both. If both exist, neither is
+/// trusted.
+void job_state_reader::reply_unless_head_exists(const job_id& id,
+                                                const job_store::terminal_state& state,
+                                                const net::reply_fn& reply) {
   read_key(
       job_store::head_key(id), reply,
-      [reply](const kvstore::result& reading) {
-        spdlog::error("records_contradictory key={}", reading.entries.front().key);
+      [reply](const kvstore::result& read_result) {
+        spdlog::error("records_contradictory key={}", read_result.entries.front().key);
         retry_later(reply, retry_reason::records_contradict);
       },
       [this, id, state, reply] {
--- a/src/api/responses.cpp
+++ b/src/api/responses.cpp
@@ -10,9 +10,9 @@
 
 const char* text_of(retry_reason reason) {
   switch (reason) {
-    case retry_reason::state_service_silent:
+    case retry_reason::state_service_unreachable:
       return "the state service does not answer";
-    case retry_reason::state_service_silent_here:
+    case retry_reason::state_service_unreachable_here:
       return "the state service does not answer here";
     case retry_reason::not_leader:
       return "not the leader";
@@ -32,7 +32,7 @@
       return "just submitted";
     case retry_reason::state_indeterminate:
       return "its state is not settled";
-    case retry_reason::record_not_seen:
+    case retry_reason::record_not_found:
       return "undecided";
     case retry_reason::record_outdated:
       return "what was read is too old";
@@ -78,12 +78,12 @@
   } else {
     return retry_later(reply, retry_reason::state_indeterminate);
   }
-  reply_json(reply, 200, write_progress(job, state_name(state), done, running));
+  reply_json(reply, 200, encode_progress(job, state_name(state), done, running));
 }
 
 void reply_state_name(const job_id& job, const job_store::job_state& state,
                       const net::reply_fn& reply) {
-  reply_json(reply, 200, write_state(job, state_name(state)));
+  reply_json(reply, 200, encode_state(job, state_name(state)));
 }
 
 }  // namespace gingerdrift::api
--- a/src/api/submission_writer.hpp
+++ b/src/api/submission_writer.hpp
@@ -11,43 +11,45 @@
 
 namespace gingerdrift::api {
 
-/// Stores new jobs.
+/// Stores new jobs in the state service.
 ///
-/// A job is accepted with its head, which is written only if neither head nor final record exist:
-/// that makes submissions idempotent. A list of dependencies that the head has no room for goes
-/// into keys of its own, stored before the head that names them. Each try writes keys of its own.
+/// A job is accepted when its head record is written. The head is written only if neither a head
+/// nor a final record of the job exists, which makes submissions idempotent. A dependency list that
+/// does not fit into the head is split into parts under separate keys, which are stored no later
+/// than the head that refers to them. Each attempt to store a job uses part keys of its own.
 class submission_writer {
  public:
-  /// What became of a write.
+  /// The result of a write.
   enum class outcome : std::uint8_t {
     stored,
-    already_accepted,  // the job has a record
-    over_budget,       // the store's rate limit leaves no room: ask again
-    unreachable,       // no answer: it may have been stored all the same
+    already_accepted,  // the job already has a head or a final record
+    over_budget,       // the rate limit is used up; to be retried
+    unreachable,       // no usable answer; the job may have been stored nevertheless
   };
   using outcome_fn = std::function<void(outcome)>;
 
-  /// `sizes`: of values and transactions that may be written. `node`: this controller, whose name
-  /// is part of the keys of dependency lists.
+  /// `sizes`: size limits of values and transactions. `node`: name of this controller, which
+  /// becomes part of the keys that hold dependency lists.
   submission_writer(kvstore::client& store, const kvstore::service_limits& sizes, node_name node);
 
-  /// Stores the job with its dependencies, and calls back once.
+  /// Stores the job with its dependencies, and calls `done` once with the result.
   void write(const job_store::job& job, const std::vector<job_id>& dependencies, outcome_fn done);
 
  private:
-  /// A job that is being stored.
+  /// A write that has not called back yet.
   struct pending_write {
     job_store::job job;
     std::vector<kvstore::json> dependency_parts;
     std::size_t next_part = 0;
     outcome_fn done;
   };
-  using pending_write_ptr = std::shared_ptr<pending_write>;
+  using write_ptr = std::shared_ptr<pending_write>;
 
-  void place_dependencies(pending_write& write, const std::vector<job_id>& dependencies) const;
-  std::vector<kvstore::operation> next_list_operations(pending_write& write) const;
-  void write_list(const pending_write_ptr& write);
-  void write_head(const pending_write_ptr& write, std::vector<kvstore::operation> operations);
+  void choose_dependency_storage(pending_write& write,
+                                 const std::vector<job_id>& dependencies) const;
+  std::vector<kvstore::operation> take_next_part_operations(pending_write& write) const;
+  void write_parts(const write_ptr& write);
+  void write_head(const write_ptr& write, std::vector<kvstore::operation> operations);
 
   kvstore::client& store_;
   kvstore::service_limits sizes_;
--- a/src/api/submissions.cpp
+++ b/src/api/submissions.cpp
@@ -11,7 +11,8 @@
 constexpr int malformed_status = 400;
 constexpr int rejected_status = 422;
 
-/// Types that don't exist can't be used: without them a long list fits a small record.
+/// Removes machine types that don't exist from the spec. They can't be used, and without them a
+/// long list fits into a small record.
 void remove_unknown_types(job_store::job_spec& spec,
                           const std::vector<admission::machine_type>& types) {
   std::erase_if(spec.types, [&](const std::string& name) {
@@ -20,7 +21,8 @@
   });
 }
 
-/// The job has no head: its final record tells whether it was accepted before.
+/// Answers a submission that is to be rejected and whose job has no head. If the job has a final
+/// record, it was accepted before and its state is returned; otherwise the submission is rejected.
 void reply_from_final(const job_id& id, rejection reason, const kvstore::result& final_record,
                       const net::reply_fn& reply) {
   if (final_record.has_entry()) {
@@ -29,24 +31,24 @@
     return reply_state_name(id, *state, reply);
   }
   if (final_record.not_found()) return reply_error(reply, rejected_status, text_of(reason));
-  retry_later(reply, retry_reason::state_service_silent);
+  retry_later(reply, retry_reason::state_service_unreachable);
 }
 }  // namespace
 
-submissions::submissions(const collaborators& parts, const submission_options& options,
+submissions::submissions(const collaborators& shared, const submission_options& options,
                          std::vector<config::team> teams, node_name node)
-    : runtime_(parts.runtime),
-      store_(parts.store),
+    : runtime_(shared.runtime),
+      store_(shared.store),
       options_(options),
       teams_(std::move(teams)),
-      services_(parts.services),
-      terminal_states_(parts.terminal_states),
-      states_(parts.states),
+      services_(shared.services),
+      terminal_states_(shared.terminal_states),
+      state_reader_(shared.state_reader),
       acceptance_(runtime_, store_, options.sizes.txn_operations),
       writer_(store_, options.sizes, std::move(node)) {}
 
 void submissions::handle(const net::request& message, bool forwarded, const net::reply_fn& reply) {
-  parsed_job parsed = parse_submission(message.body);
+  parsed_submission parsed = parse_submission(message.body);
   if (parsed.format_error) {
     spdlog::debug("submission_rejected reason=\"{}\" body={}", *parsed.format_error, message.body);
     return reply_error(reply, malformed_status, *parsed.format_error);
@@ -58,45 +60,47 @@
   const auto reason = find_rejection(parsed.spec, teams_, types);
   remove_unknown_types(parsed.spec, types);
   const auto submitted = std::make_shared<pending_submission>(
-      pending_submission{message, forwarded, reply, job_announced(std::move(parsed.spec)),
+      pending_submission{message, forwarded, reply, create_job(std::move(parsed.spec)),
                          std::move(parsed.dependencies)});
   if (reason) return reject_unless_accepted(submitted, *reason);
-  // The buffer before the store is small; when it is full the user hears so at once.
+  // Few submissions may wait for the store at once; further ones get 503 immediately.
   if (waiting_for_store_ >= options_.max_waiting_for_store)
     return retry_later(reply, retry_reason::too_many_submissions);
   if (submitted->dependencies.empty()) return store(submitted);
   check_dependencies(submitted);
 }
 
-job_store::job submissions::job_announced(job_store::job_spec spec) {
+job_store::job submissions::create_job(job_store::job_spec spec) {
   const auto created =
       std::chrono::duration_cast<milliseconds>(runtime_.wall_now().time_since_epoch());
   return job_store::job_announced(std::move(spec), created.count(),
                                   kvstore::planned_value_bytes(options_.sizes));
 }
 
-/// Every name has to have been accepted. What became of those jobs is the leader's to find out.
+/// Checks that every dependency was accepted. Whether these jobs have ended, and how, is determined
+/// by the leader.
 void submissions::check_dependencies(const submission_ptr& submission) {
   const auto& dependencies = submission->dependencies;
   const job_id& id = submission->job.spec().id;
   if (std::find(dependencies.begin(), dependencies.end(), id) != dependencies.end())
     return reject_unless_accepted(submission, rejection::depends_on_itself);
-  // A version that knows nothing of dependencies would leave the job waiting if it led.
+  // A leader whose version does not support dependencies would leave the job waiting.
   if (!services_.dependencies_supported()) {
-    // A node that the store refuses alone can't know; its peers can.
-    if (!services_.store_reachable()) return store_unreachable(submission);
+    // A controller that can't reach the store can't know whether all versions support dependencies,
+    // but its peers can.
+    if (!services_.store_reachable()) return retry_on_peer_with_store(submission);
     return retry_later(submission->reply, retry_reason::dependencies_unsupported);
   }
   ++waiting_for_store_;
   acceptance_.check(dependencies,
                     guard_.wrap([this, submission](acceptance_check::verdict verdict) {
                       --waiting_for_store_;
-                      dependencies_checked(submission, verdict);
+                      handle_dependency_verdict(submission, verdict);
                     }));
 }
 
-void submissions::dependencies_checked(const submission_ptr& submission,
-                                       acceptance_check::verdict verdict) {
+void submissions::handle_dependency_verdict(const submission_ptr& submission,
+                                            acceptance_check::verdict verdict) {
   switch (verdict) {
     case acceptance_check::verdict::all_accepted:
       return store(submission);
@@ -105,7 +109,7 @@
     case acceptance_check::verdict::undecided:
       return retry_later(submission->reply, retry_reason::dependencies_undecided);
     case acceptance_check::verdict::unreachable:
-      return store_unreachable(submission);
+      return retry_on_peer_with_store(submission);
   }
 }
 
@@ -114,61 +118,64 @@
   writer_.write(submission->job, submission->dependencies,
                 [this, submission](submission_writer::outcome outcome) {
                   --waiting_for_store_;
-                  store_answered(submission, outcome);
+                  handle_write_outcome(submission, outcome);
                 });
 }
 
-void submissions::store_answered(const submission_ptr& submission,
-                                 submission_writer::outcome outcome) {
+void submissions::handle_write_outcome(const submission_ptr& submission,
+                                       submission_writer::outcome outcome) {
   switch (outcome) {
     case submission_writer::outcome::stored:
-      return accepted(submission);
+      return acknowledge(submission);
     case submission_writer::outcome::already_accepted:
-      return answer_repeated(submission);
+      return reply_with_current_state(submission);
     case submission_writer::outcome::over_budget:
-      return retry_later(submission->reply, retry_reason::state_service_silent);
+      return retry_later(submission->reply, retry_reason::state_service_unreachable);
     case submission_writer::outcome::unreachable:
-      return store_unreachable(submission);
+      return retry_on_peer_with_store(submission);
   }
 }
 
-void submissions::accepted(const submission_ptr& submission) {
+void submissions::acknowledge(const submission_ptr& submission) {
   const auto& spec = submission->job.spec();
   spdlog::debug("job_accepted job={} lane={} tasks={} dependencies={}", spec.id, spec.lane,
                 spec.tasks, submission->dependencies.size());
   acceptance_.remember(spec.id);
   services_.notify_leader_of_job(spec.id);
-  reply_json(submission->reply, accepted_status, write_state(spec.id, "pending"));
+  reply_json(submission->reply, accepted_status, encode_state(spec.id, "pending"));
 }
 
-/// This node may be the only one that the store refuses.
-void submissions::store_unreachable(const submission_ptr& submission) {
+/// Forwards the submission to a peer that can reach the store, because this controller may be the
+/// only one that can't.
+void submissions::retry_on_peer_with_store(const submission_ptr& submission) {
   if (submission->forwarded)
-    return retry_later(submission->reply, retry_reason::state_service_silent);
+    return retry_later(submission->reply, retry_reason::state_service_unreachable);
   services_.forward_to_peer_with_store(
       submission->message, [reply = submission->reply](const net::response& peer_reply) {
-        if (peer_reply.status == 0) return retry_later(reply, retry_reason::state_service_silent);
+        if (peer_reply.status == 0)
+          return retry_later(reply, retry_reason::state_service_unreachable);
         reply(peer_reply);
       });
 }
 
-/// A job that was accepted once is never refused, even if types or limits have changed since.
+/// Rejects the submission unless its job was accepted before. An accepted job is never rejected
+/// later, even if machine types or limits have changed since.
 void submissions::reject_unless_accepted(const submission_ptr& submission, rejection reason) {
   const job_id id = submission->job.spec().id;
-  const auto head_read = [this, id, reason, submission](const kvstore::result& head) {
-    if (head.ok()) return answer_repeated(submission);
+  const auto handle_head = [this, id, reason, submission](const kvstore::result& head) {
+    if (head.ok()) return reply_with_current_state(submission);
     if (!head.not_found())
-      return retry_later(submission->reply, retry_reason::state_service_silent);
+      return retry_later(submission->reply, retry_reason::state_service_unreachable);
     store_.get(job_store::final_key(id),
                [id, reason, reply = submission->reply](const kvstore::result& final_record) {
                  reply_from_final(id, reason, final_record, reply);
                });
   };
-  store_.get(job_store::head_key(id), guard_.wrap(head_read));
+  store_.get(job_store::head_key(id), guard_.wrap(handle_head));
 }
 
-/// The job was accepted before: the answer is its state.
-void submissions::answer_repeated(const submission_ptr& submission) {
+/// Answers a repeated submission, whose job was accepted before, with the state of the job.
+void submissions::reply_with_current_state(const submission_ptr& submission) {
   const job_id id = submission->job.spec().id;
   acceptance_.remember(id);
   if (services_.is_leader()) {
@@ -176,24 +183,28 @@
     if (state && !std::holds_alternative<job_store::indeterminate>(*state))
       return reply_state_name(id, *state, submission->reply);
   }
-  // Of a job that waits for others only the leader can tell the state. It is stored, so that no
-  // leader can take it anew, whatever its version.
-  const bool leader_knows_more = !submission->dependencies.empty() && !submission->forwarded;
-  if (!leader_knows_more || services_.is_leader()) return answer_from_store(submission);
+  // Only the leader can determine the state of a job that waits for dependencies. The job is
+  // stored, so no leader accepts it a second time when the submission is forwarded, whatever its
+  // version.
+  const bool should_ask_leader = !submission->dependencies.empty() && !submission->forwarded;
+  if (!should_ask_leader || services_.is_leader()) return reply_with_stored_state(submission);
   services_.forward_to_leader(submission->message,
                               guard_.wrap([this, submission](const net::response& leader_reply) {
                                 if (leader_reply.status == 200)
                                   return submission->reply(leader_reply);
-                                answer_from_store(submission);
+                                reply_with_stored_state(submission);
                               }));
 }
 
-void submissions::answer_from_store(const submission_ptr& submission) {
-  states_.read(submission->job.spec().id, [reply = submission->reply](const net::response& state) {
-    // A record must be there; if it can't be read, the user asks again.
-    if (state.status == 404) return retry_later(reply, retry_reason::record_not_seen);
-    reply(state);
-  });
+void submissions::reply_with_stored_state(const submission_ptr& submission) {
+  state_reader_.read(submission->job.spec().id,
+                     [reply = submission->reply](const net::response& state) {
+                       // The job was accepted, so a record of it must exist; if none was found, the
+                       // user has to retry.
+                       if (state.status == 404)
+                         return retry_later(reply, retry_reason::record_not_found);
+                       reply(state);
+                     });
 }
 
 }  // namespace gingerdrift::api
--- a/src/api/submissions.hpp
+++ b/src/api/submissions.hpp
@@ -18,36 +18,37 @@
 
 /// Limits of submissions.
 struct submission_options {
-  std::uint32_t max_waiting_for_store = 64;  // submissions; more get 503
-  /// Sizes of values and transactions that may be written.
+  std::uint32_t max_waiting_for_store = 64;  // submissions that wait for the store; more get 503
+  /// Size limits of values and transactions.
   kvstore::service_limits sizes;
 };
 
-/// Takes jobs: checks them, stores them, and only then says so. A submission that is repeated is
-/// answered with the state of the job that is stored.
+/// Handles submissions: validates each job, stores it, and acknowledges it only once it is stored.
+/// A repeated submission is answered with the state of the stored job.
 class submissions {
  public:
-  /// What submissions work with. All of it has to outlive them.
+  /// Objects that this class uses. All of them have to outlive it.
   struct collaborators {
     net::runtime& runtime;
     kvstore::client& store;
     node_services& services;
     terminal_state_cache& terminal_states;
-    job_state_reader& states;
+    job_state_reader& state_reader;
   };
 
-  /// `teams`: those that may submit, with their limits. `node`: this controller.
-  submissions(const collaborators& parts, const submission_options& options,
+  /// `teams`: the teams that may submit jobs, with their limits. `node`: name of this controller.
+  submissions(const collaborators& shared, const submission_options& options,
               std::vector<config::team> teams, node_name node);
   ~submissions() = default;
   submissions(const submissions&) = delete;
   submissions& operator=(const submissions&) = delete;
 
-  /// Answers a submission. `forwarded`: it comes from a peer and is not passed on again.
+  /// Handles a submission and replies. `forwarded`: the request comes from a peer and must not be
+  /// forwarded again.
   void handle(const net::request& message, bool forwarded, const net::reply_fn& reply);
 
  private:
-  /// One submission on its way to the store.
+  /// A well-formed submission that has not been answered yet.
   struct pending_submission {
     net::request message;
     bool forwarded = false;
@@ -57,16 +58,17 @@
   };
   using submission_ptr = std::shared_ptr<pending_submission>;
 
-  job_store::job job_announced(job_store::job_spec spec);
+  job_store::job create_job(job_store::job_spec spec);
   void check_dependencies(const submission_ptr& submission);
-  void dependencies_checked(const submission_ptr& submission, acceptance_check::verdict verdict);
+  void handle_dependency_verdict(const submission_ptr& submission,
+                                 acceptance_check::verdict verdict);
   void store(const submission_ptr& submission);
-  void store_answered(const submission_ptr& submission, submission_writer::outcome outcome);
-  void accepted(const submission_ptr& submission);
-  void store_unreachable(const submission_ptr& submission);
+  void handle_write_outcome(const submission_ptr& submission, submission_writer::outcome outcome);
+  void acknowledge(const submission_ptr& submission);
+  void retry_on_peer_with_store(const submission_ptr& submission);
   void reject_unless_accepted(const submission_ptr& submission, rejection reason);
-  void answer_repeated(const submission_ptr& submission);
-  void answer_from_store(const submission_ptr& submission);
+  void reply_with_current_state(const submission_ptr& submission);
+  void reply_with_stored_state(const submission_ptr& submission);
 
   net::runtime& runtime_;
   kvstore::client& store_;
@@ -74,7 +76,7 @@
   std::vector<config::team> teams_;
   node_services& services_;
   terminal_state_cache& terminal_states_;
-  job_state_reader& states_;
+  job_state_reader& state_reader_;
   acceptance_check acceptance_;
   submission_writer writer_;
   std::uint32_t waiting_for_store_ = 0;
--- a/src/api/terminal_state_cache.hpp
+++ b/src/api/terminal_state_cache.hpp
@@ -9,20 +9,21 @@
 
 namespace gingerdrift::api {
 
-/// Terminal states of jobs, which never change: the only answers that may be cached. When it is
-/// full, the state that was inserted first is dropped.
+/// A FIFO cache of the terminal states of jobs. Terminal states never change, so they are the only
+/// states that may be cached. When the cache is full, the state that was inserted first is evicted.
 class terminal_state_cache {
  public:
-  /// `capacity`: how many jobs it holds at most.
+  /// `capacity`: maximum number of jobs in the cache.
   explicit terminal_state_cache(std::size_t capacity) : capacity_(capacity) {}
 
-  /// Nothing: the job is not in the cache; whether it is over is not known here.
+  /// Returns the terminal state of the job, or nothing if the job is not in the cache. A job that
+  /// is not in the cache may still have ended.
   std::optional<job_store::terminal_state> find(const job_id& job) const {
     const auto position = states_.find(job);
     if (position == states_.end()) return std::nullopt;
     return position->second;
   }
-  /// Does nothing for a job that is in the cache: its state never changes.
+  /// Does nothing if the job is already in the cache, because its terminal state never changes.
   void insert(const job_id& job, const job_store::terminal_state& state) {
     if (!states_.emplace(job, state).second) return;
     insertion_order_.push_back(job);
