--- a/tests/job_validation_test.cpp
+++ b/tests/job_validation_test.cpp
@@ -1,4 +1,5 @@
-// Which jobs could never run with the teams and machine types that there are.
+// Tests that jobs that could never run with the configured teams and the offered machine types are
+// rejected, and that others are not.
 #include "api/job_validation.hpp"
 
 #include <gtest/gtest.h>
@@ -10,10 +11,10 @@
 using api::find_rejection;
 using api::rejection;
 
-/// A team whose jobs may use as many GPUs, and no other limit.
+/// Returns the team `red`, whose only limit is this number of GPUs.
 config::team team_with(double gpus_max) { return {.name = "red", .gpus_max = gpus_max}; }
 
-/// A job of the team `red`.
+/// Returns the spec of an array job of the team `red`. Besides GPUs, a task needs 1 CPU and 1 GB.
 job_store::job_spec make_spec(std::uint32_t tasks, double gpus_per_task) {
   job_store::job_spec spec;
   spec.id = "run-1";
@@ -37,33 +38,33 @@
 
 }  // namespace
 
-TEST(job_validation, counts_the_tasks_of_a_gang_together_and_those_of_an_array_alone) {
+TEST(job_validation, applies_team_limit_to_all_tasks_of_a_gang_but_to_each_task_of_an_array) {
   job_store::job_spec spec = make_spec(3, 8);
   EXPECT_EQ(find_rejection(spec, {team_with(16)}, types), std::nullopt);
   spec.gang = true;
   EXPECT_EQ(find_rejection(spec, {team_with(16)}, types), rejection::over_team_limit);
 }
 
-TEST(job_validation, takes_a_job_of_exactly_the_limit_in_spite_of_rounding) {
+TEST(job_validation, accepts_job_of_exactly_the_team_limit_despite_rounding_error) {
   job_store::job_spec spec = make_spec(3, 0.1);
   spec.gang = true;
   ASSERT_GT(3 * 0.1, 0.3);
   EXPECT_EQ(find_rejection(spec, {team_with(0.3)}, types), std::nullopt);
 }
 
-TEST(job_validation, goes_by_the_last_of_several_teams_with_one_name) {
+TEST(job_validation, uses_last_team_if_several_have_the_same_name) {
   const job_store::job_spec spec = make_spec(1, 4);
   EXPECT_EQ(find_rejection(spec, {team_with(1), team_with(8)}, types), std::nullopt);
   EXPECT_EQ(find_rejection(spec, {team_with(8), team_with(1)}, types), rejection::over_team_limit);
 }
 
-TEST(job_validation, looks_for_a_fitting_machine_type_in_the_jobs_zone_only) {
+TEST(job_validation, rejects_job_if_no_machine_type_in_its_zone_fits) {
   job_store::job_spec spec = make_spec(1, 8);
   spec.zone = "b";
   EXPECT_EQ(find_rejection(spec, {team_with(16)}, types), rejection::no_fitting_machine_type);
 }
 
-TEST(job_validation, spreads_a_gang_only_over_zones_with_fitting_machines) {
+TEST(job_validation, counts_only_zones_with_fitting_machines_when_a_gang_is_spread) {
   job_store::job_spec spec = make_spec(2, 8);
   spec.gang = true;
   spec.spread = true;
