--- a/src/daemon/controller.cpp
+++ b/src/daemon/controller.cpp
@@ -68,7 +68,7 @@
   const auto sizes = kvstore::writable_sizes(platform_settings_.state_limits,
                                              platform_settings_.announced_state_limits);
   return {.submissions = {operator_settings_.waiting_submissions, sizes},
-          .final_cache = operator_settings_.final_cache,
+          .terminal_cache_capacity = operator_settings_.final_cache,
           .cancellation = leader::acknowledgement_of_cancellations(platform_settings_),
           .node = platform_settings_.node};
 }
@@ -117,8 +117,9 @@
   return {
       .deposed = [this] { elector_.handle_leader_key_loss(); },
       .lease_valid = [this] { return elector_.lease_valid(); },
-      .finished = [this](const job_id& id,
-                         const job_store::terminal_state& end) { api_.remember(id, end); },
+      .finished = [this](
+                      const job_id& id,
+                      const job_store::terminal_state& end) { api_.cache_terminal_state(id, end); },
       .cached_terminal_state = [this](const job_id& id) { return api_.cached_terminal_state(id); }};
 }
 
@@ -159,7 +160,7 @@
 }
 
 void controller::fetch_announced_job(const job_id& job) {
-  if (is_leader() && api::valid_id(job.str())) term_->fetch_job(job);
+  if (is_leader() && api::is_valid_job_id(job.str())) term_->fetch_job(job);
 }
 
 /// Reports whether a peer has recently answered a heartbeat. A node that is not a peer, such as
@@ -185,7 +186,7 @@
   term_->cancel(job, std::move(done));
 }
 
-void controller::job_submitted(const job_id& job) {
+void controller::notify_leader_of_job(const job_id& job) {
   if (is_leader()) {
     term_->fetch_job(job);
   } else if (!elector_.leader().node.empty()) {
--- a/src/daemon/heartbeat_router.cpp
+++ b/src/daemon/heartbeat_router.cpp
@@ -32,7 +32,7 @@
 
 void heartbeat_router::handle(const net::request& message, const net::reply_fn& reply) {
   if (message.method != "POST") {
-    send_response(reply, status_method_not_allowed, api::write_error("method not allowed"));
+    send_response(reply, status_method_not_allowed, api::encode_error("method not allowed"));
     return;
   }
   const stopwatch watch(metrics_.heartbeat_time);
@@ -68,7 +68,7 @@
   auto heartbeat = workers::decode_heartbeat(message.body);
   if (!heartbeat) {
     spdlog::error("heartbeat_malformed");
-    send_response(reply, status_bad_request, api::write_error("malformed report"));
+    send_response(reply, status_bad_request, api::encode_error("malformed report"));
     return;
   }
   ++metrics_.heartbeats;
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -21,7 +21,7 @@
   job.tasks = 5;
   return json::parse(job.body());
 }
-bool well_formed(const std::string& text) { return !api::read_job(text).malformation; }
+bool well_formed(const std::string& text) { return !api::parse_submission(text).format_error; }
 bool well_formed_with(const std::string& field, const json& value) {
   json body = valid_submission();
   body[field] = value;
@@ -44,7 +44,7 @@
 job_store::job large_array() {
   json body = valid_submission();
   body["pieces"] = 100000;
-  job_store::job job(api::read_job(body.dump()).spec, 0, 48);
+  job_store::job job(api::parse_submission(body.dump()).spec, 0, 48);
   for (std::uint32_t task = 0; task < 90000; ++task) {
     if (task % 7 != 0) job.restore_done(task, task);
   }
@@ -86,7 +86,8 @@
     json body = valid_submission();
     body["shape"] = gang ? "ensemble" : "sweep";
     body[field] = value;
-    return api::find_rejection(api::read_job(body.dump()).spec, teams(), {machine_type_in({"a"})});
+    return api::find_rejection(api::parse_submission(body.dump()).spec, teams(),
+                               {machine_type_in({"a"})});
   };
   using api::rejection;
   EXPECT_EQ(rejection_of("crew", "red"), std::nullopt);
@@ -112,7 +113,7 @@
                              const std::vector<std::string>& zones) {
       body["together"] = one_zone;
       body["yard"] = zone == nullptr ? json() : json(zone);
-      return !api::find_rejection(api::read_job(body.dump()).spec, teams(),
+      return !api::find_rejection(api::parse_submission(body.dump()).spec, teams(),
                                   {machine_type_in(zones)});
     };
     EXPECT_TRUE(may_run(false, nullptr, {"a", "b"}));
--- a/tests/upgrade_formats_test.cpp
+++ b/tests/upgrade_formats_test.cpp
@@ -26,7 +26,7 @@
 }
 
 job_store::job accepted(std::uint32_t tasks, bool gang = false) {
-  return job_store::create_job(api::read_job(submission(tasks, gang).body()).spec, 1234567,
+  return job_store::create_job(api::parse_submission(submission(tasks, gang).body()).spec, 1234567,
                                value_bytes);
 }
 
