--- a/src/api/acceptance_check.cpp
+++ b/src/api/acceptance_check.cpp
@@ -59,9 +59,10 @@
 
 void acceptance_check::batch_answered(const std::shared_ptr<pending_check>& check,
                                       std::size_t batch_size, const kvstore::result& answer) {
-  if (answer.over_rate()) return check->done(verdict::undecided);
+  if (answer.rate_limited()) return check->done(verdict::undecided);
   if (!answer.ok() && !answer.conflict()) return check->done(verdict::unreachable);
-  const std::set<std::string> present_keys(answer.failed.begin(), answer.failed.end());
+  const std::set<std::string> present_keys(answer.conflicting_keys.begin(),
+                                           answer.conflicting_keys.end());
   for (std::size_t i = 0; i < batch_size; ++i) {
     const job_id& job = check->unchecked[i];
     const bool was_accepted = present_keys.count(job_store::head_key(job)) != 0 ||
--- a/src/api/submission_writer.cpp
+++ b/src/api/submission_writer.cpp
@@ -13,7 +13,7 @@
   using outcome = submission_writer::outcome;
   if (head_answer.ok()) return outcome::stored;
   if (head_answer.conflict()) return outcome::already_accepted;
-  if (head_answer.over_rate()) return outcome::over_budget;
+  if (head_answer.rate_limited()) return outcome::over_budget;
   return outcome::unreachable;
 }
 }  // namespace
--- a/src/config/operator_settings.cpp
+++ b/src/config/operator_settings.cpp
@@ -44,16 +44,16 @@
     {"admission/preempt_hold_s", &fields::reservation_ttl, {1, 600}},
     {"admission/gather_delay_s", &fields::gang_reservation_delay, {0, 3600}},
     {"admission/gather_share", &fields::gang_reservation_share, {0, 1}},
-    {"admission/pass_interval_s", &fields::pass_interval, {0.01, 10}},
-    {"fleet/idle_return_s", &fields::idle_return, {0, day_s}},
+    {"admission/pass_interval_s", &fields::min_scheduling_interval, {0.01, 10}},
+    {"fleet/idle_return_s", &fields::idle_machine_timeout, {0, day_s}},
     {"fleet/refusal_backoff_s", &fields::refusal_backoff, {1, 600}},
-    {"fleet/boot_patience", &fields::boot_patience, {1, 100}},
-    {"fleet/silent_release_s", &fields::silent_release, {0, 3600}},
+    {"fleet/boot_patience", &fields::boot_timeout_factor, {1, 100}},
+    {"fleet/silent_release_s", &fields::missed_heartbeat_timeout, {0, 3600}},
     {"fleet/machines_max", &fields::machines_max, {1, 100000}},
     {"workers/sick_jobs", &fields::quarantine_after_failed_jobs, {1, 100}},
     {"workers/broken_backoff_s", &fields::failing_job_backoff, {1, 3600}},
-    {"front/waiting_submissions", &fields::waiting_submissions, {1, 10000}},
-    {"front/final_cache", &fields::final_cache, {16, 1000000}},
+    {"front/waiting_submissions", &fields::max_waiting_submissions, {1, 10000}},
+    {"front/final_cache", &fields::terminal_state_cache_size, {16, 1000000}},
 };
 
 const element* find_element(const std::string& path) {
--- a/src/config/operator_settings.hpp
+++ b/src/config/operator_settings.hpp
@@ -23,19 +23,19 @@
   duration reservation_ttl = seconds(20);
   duration gang_reservation_delay = seconds(60);
   double gang_reservation_share = 0.03;
-  duration pass_interval = milliseconds(100);
+  duration min_scheduling_interval = milliseconds(100);
   // fleet
-  duration idle_return = seconds(25);
+  duration idle_machine_timeout = seconds(25);
   duration refusal_backoff = seconds(10);
-  double boot_patience = 3.0;
-  duration silent_release = seconds(0);  // 0: the workers' lease
+  double boot_timeout_factor = 3.0;
+  duration missed_heartbeat_timeout = seconds(0);  // 0: the workers' lease
   std::uint32_t machines_max = 10000;
   // workers
   std::uint32_t quarantine_after_failed_jobs = 2;
   duration failing_job_backoff = seconds(10);
   // front
-  std::uint32_t waiting_submissions = 64;
-  std::uint32_t final_cache = 16384;
+  std::uint32_t max_waiting_submissions = 64;
+  std::uint32_t terminal_state_cache_size = 16384;
 };
 
 /// Reads the operators' file. Throws `settings_error` if it is malformed, has an element that is
--- a/src/config/platform_settings.cpp
+++ b/src/config/platform_settings.cpp
@@ -53,11 +53,14 @@
 }
 
 void read_worker_times(const toml_table& workers, platform_settings& settings) {
-  settings.report = workers.time("report_s", settings.report, {0.1, 600});
+  settings.worker_heartbeat_interval =
+      workers.time("report_s", settings.worker_heartbeat_interval, {0.1, 600});
   settings.worker_lease = workers.time("lease_s", settings.worker_lease, {1, 3600});
-  settings.gang_wait = workers.time("gang_wait_s", settings.gang_wait, {1, 3600});
-  settings.gang_peer = workers.time("gang_peer_s", settings.gang_peer, {0.1, 3600});
-  settings.cancel = workers.time("cancel_s", settings.cancel, {1, 7200});
+  settings.gang_start_timeout = workers.time("gang_wait_s", settings.gang_start_timeout, {1, 3600});
+  settings.gang_peer_loss_timeout =
+      workers.time("gang_peer_s", settings.gang_peer_loss_timeout, {0.1, 3600});
+  settings.cancellation_deadline =
+      workers.time("cancel_s", settings.cancellation_deadline, {1, 7200});
 }
 
 /// Fields that are absent keep the values of `fallback`.
@@ -93,15 +96,15 @@
 
 platform_settings read_platform_settings(const std::string& file) {
   constexpr double ms_per_s = 1000;
-  constexpr double default_clock_off_ms = 100;
+  constexpr double default_clock_offset_ms = 100;
   const toml::table parsed = parse(file);
   const toml_table root(file, parsed);
   platform_settings settings;
   read_node(root, settings);
   const auto params = root.required_table("params");
   settings.zones = ids_of<zone_name>(params.texts("zones"));
-  settings.clock_off = from_seconds(
-      params.number("clock_off_ms", default_clock_off_ms, {0, 60 * ms_per_s}) / ms_per_s);
+  settings.clock_offset = from_seconds(
+      params.number("clock_off_ms", default_clock_offset_ms, {0, 60 * ms_per_s}) / ms_per_s);
   read_teams(params, settings);
   read_worker_times(params.optional_table("workers"), settings);
   read_state_limits(params.optional_table("state"), settings);
--- a/src/config/platform_settings.hpp
+++ b/src/config/platform_settings.hpp
@@ -37,15 +37,15 @@
   std::string cloud;
   std::string state;
   std::vector<zone_name> zones;
-  duration clock_off = milliseconds(100);
+  duration clock_offset = milliseconds(100);
   std::vector<team> teams;
-  duration report = seconds(3);
+  duration worker_heartbeat_interval = seconds(3);
   duration worker_lease = seconds(24);
-  duration gang_wait = seconds(50);
-  duration gang_peer = seconds(4);
+  duration gang_start_timeout = seconds(50);
+  duration gang_peer_loss_timeout = seconds(4);
   /// How soon after its confirmation a cancellation has to be carried out. It may be below the
   /// workers' lease: users are then told once the tasks are gone.
-  duration cancel = seconds(44);
+  duration cancellation_deadline = seconds(44);
   kvstore::service_limits state_limits;
   /// What the state service's limits will be from some moment on; it comes without notice.
   std::optional<kvstore::service_limits> announced_state_limits;
--- a/src/daemon/controller.cpp
+++ b/src/daemon/controller.cpp
@@ -43,7 +43,7 @@
       versions_(runtime, store_, platform_.node, all_nodes()),
       machine_types_(runtime, store_, platform_.cloud),
       heartbeats_(runtime, platform_, elector_, delegate_, metrics_, router_callbacks()),
-      watchdog_(runtime, platform_.report, peers_, elector_,
+      watchdog_(runtime, platform_.worker_heartbeat_interval, peers_, elector_,
                 [this] { return is_leader() ? term_.get() : nullptr; }),
       status_logger_(runtime, status_callbacks()) {}
 
@@ -62,8 +62,8 @@
 api::options controller::api_options() const {
   const auto sizes =
       kvstore::writable_sizes(platform_.state_limits, platform_.announced_state_limits);
-  return {.submissions = {rules_.waiting_submissions, sizes},
-          .final_cache = rules_.final_cache,
+  return {.submissions = {rules_.max_waiting_submissions, sizes},
+          .final_cache = rules_.terminal_state_cache_size,
           .cancellation = leader::acknowledgement_of_cancellations(platform_),
           .node = platform_.node};
 }
@@ -199,8 +199,8 @@
 }
 
 bool controller::store_reachable() const {
-  if (store_.last_failure() <= store_.last_answer()) return true;
-  return runtime_.now() - store_.last_answer() < store_patience;
+  if (store_.last_unavailable_time() <= store_.last_response_time()) return true;
+  return runtime_.now() - store_.last_response_time() < store_patience;
 }
 
 void controller::handle_front(const net::request& message, const net::reply_fn& reply) {
--- a/src/daemon/heartbeat_router.cpp
+++ b/src/daemon/heartbeat_router.cpp
@@ -27,7 +27,7 @@
       delegate_(delegate),
       metrics_(metrics),
       callbacks_(std::move(owner)),
-      redirected_(platform.report) {}
+      redirected_(platform.worker_heartbeat_interval) {}
 
 void heartbeat_router::handle(const net::request& message, const net::reply_fn& reply) {
   if (message.method != "POST") {
--- a/src/job_store/group_commit.cpp
+++ b/src/job_store/group_commit.cpp
@@ -158,7 +158,7 @@
 void group_commit::rejected(const commit_batch& batch, const kvstore::result& answer) {
   requeue(batch.units());
   placements_.requeue();
-  if (answer.conflict()) return resolve_conflict(answer.failed);
+  if (answer.conflict()) return resolve_conflict(answer.conflicting_keys);
   if (answer.too_large()) reduce_limits(batch);
   schedule(retry_delay);
 }
--- a/src/kvstore/client.cpp
+++ b/src/kvstore/client.cpp
@@ -29,15 +29,15 @@
 void client::answered(const result& answer, double writes, const result_fn& done) {
   const time_point now = runtime_.now();
   const bool failed = answer.no_answer() || answer.unavailable();
-  (failed ? last_failure_ : last_answer_) = now;
-  if (answer.over_rate()) budget_.refused_for_rate(now, writes);
+  (failed ? last_unavailable_time_ : last_response_time_) = now;
+  if (answer.rate_limited()) budget_.refused_for_rate(now, writes);
   done(answer);
 }
 
 void client::refuse(result_fn done) {
   runtime_.after(duration::zero(), [done = std::move(done), now = runtime_.now()] {
     result refused;
-    refused.status = status_code::over_rate;
+    refused.status = status_code::rate_limited;
     refused.sent = now;
     done(refused);
   });
--- a/src/kvstore/client.hpp
+++ b/src/kvstore/client.hpp
@@ -16,8 +16,8 @@
 /// Client of the state service, a replicated key-value store with leases and transactions.
 ///
 /// Requests that the controller's budget has no room for are not sent: they are answered with
-/// `over_rate`, as the service itself would. Every request calls back once, on the loop's thread;
-/// the client has to outlive its requests.
+/// `rate_limited`, as the service itself would. Every request calls back once, on the loop's
+/// thread; the client has to outlive its requests.
 class client {
  public:
   /// `announced`: the rates to use once the service refuses the present ones.
@@ -29,7 +29,7 @@
   /// lease renewals still get through.
   void get_for_user(const std::string& key, result_fn done);
   /// For what may wait: from the half of the budget that is left over only, so that elections,
-  /// renewals and users' questions go first. `over_rate` where there is none.
+  /// renewals and users' questions go first. `rate_limited` where there is none.
   void get_in_background(const std::string& key, result_fn done);
   /// A page of the entries with this prefix, behind the key `after` unless it is empty.
   void list(const std::string& prefix, const std::string& after, result_fn done);
@@ -57,8 +57,8 @@
   /// The leader does most of the writing.
   void set_write_share(double share) { budget_.set_write_share(runtime_.now(), share); }
   /// Last time anything but silence or `unavailable` came back.
-  time_point last_answer() const { return last_answer_; }
-  time_point last_failure() const { return last_failure_; }
+  time_point last_response_time() const { return last_response_time_; }
+  time_point last_unavailable_time() const { return last_unavailable_time_; }
 
  private:
   /// What a request costs, and how long its answer is awaited.
@@ -71,15 +71,15 @@
   void answered(const result& answer, double writes, const result_fn& done);
   void list_page(const std::string& prefix, const std::string& after, std::size_t limit,
                  result_fn done);
-  /// Answers later with `over_rate`, without a request.
+  /// Answers later with `rate_limited`, without a request.
   void refuse(result_fn done);
   bool has_spare_requests() { return budget_.has_spare_requests(runtime_.now()); }
 
   net::runtime& runtime_;
   std::string address_;
   request_budget budget_;
-  time_point last_answer_{};
-  time_point last_failure_{};
+  time_point last_response_time_{};
+  time_point last_unavailable_time_{};
 };
 
 }  // namespace gingerdrift::kvstore
--- a/src/kvstore/types.hpp
+++ b/src/kvstore/types.hpp
@@ -28,7 +28,7 @@
 /// A watch starts at a revision that the service no longer keeps.
 constexpr int compacted = 410;
 /// The rate limit is used up: the service's, or this controller's share of it.
-constexpr int over_rate = 429;
+constexpr int rate_limited = 429;
 constexpr int unavailable = 503;
 }  // namespace status_code
 
@@ -44,11 +44,11 @@
 struct result {
   int status = status_code::no_answer;
   store_revision revision;
-  std::vector<entry> entries;       // get: one; list: a page; watch: the changes
-  std::vector<std::string> failed;  // transaction: keys whose condition does not hold
-  std::uint64_t lease = 0;          // 0: none
-  bool more = false;                // list: further entries follow this page
-  time_point sent{};                // when the request was sent
+  std::vector<entry> entries;                 // get: one; list: a page; watch: the changes
+  std::vector<std::string> conflicting_keys;  // transaction: keys whose condition does not hold
+  std::uint64_t lease = 0;                    // 0: none
+  bool more = false;                          // list: further entries follow this page
+  time_point sent{};                          // when the request was sent
 
   bool ok() const { return status == status_code::ok; }
   bool no_answer() const { return status == status_code::no_answer; }
@@ -56,7 +56,7 @@
   bool not_found() const { return status == status_code::not_found; }
   bool conflict() const { return status == status_code::conflict; }
   bool compacted() const { return status == status_code::compacted; }
-  bool over_rate() const { return status == status_code::over_rate; }
+  bool rate_limited() const { return status == status_code::rate_limited; }
   bool unavailable() const { return status == status_code::unavailable; }
   /// Whether at least one entry was read.
   bool has_entry() const { return ok() && !entries.empty(); }
--- a/src/kvstore/wire_codec.cpp
+++ b/src/kvstore/wire_codec.cpp
@@ -107,7 +107,7 @@
   }
   if (body.contains(field::more)) decoded.more = body[field::more].get<bool>();
   if (body.contains(field::failed_keys))
-    decoded.failed = body[field::failed_keys].get<std::vector<std::string>>();
+    decoded.conflicting_keys = body[field::failed_keys].get<std::vector<std::string>>();
   if (body.contains(field::changes)) {
     for (const auto& item : body[field::changes]) decoded.entries.push_back(decode_change(item));
   }
--- a/src/leader/leader_term.cpp
+++ b/src/leader/leader_term.cpp
@@ -16,7 +16,7 @@
   constexpr std::size_t probe_share = 4;
   constexpr std::size_t least_probes = 20;
   const auto calls = config::connection_budget::of(platform.max_connections).calls;
-  return {.heartbeat_interval = platform.report,
+  return {.heartbeat_interval = platform.worker_heartbeat_interval,
           .worker_lease = platform.worker_lease,
           .renewal_grace = renewal_grace(platform),
           .quarantine_after_failed_jobs = rules.quarantine_after_failed_jobs,
@@ -32,7 +32,7 @@
           .rps = platform.cloud_rps,
           .list_lag = platform.list_lag,
           .refusal_backoff = rules.refusal_backoff,
-          .boot_patience = rules.boot_patience,
+          .boot_patience = rules.boot_timeout_factor,
           .silence = platform.worker_lease + silence_slack,
           .machines_max = rules.machines_max};
 }
--- a/src/leader/lease_policy.cpp
+++ b/src/leader/lease_policy.cpp
@@ -17,13 +17,14 @@
 }  // namespace
 
 duration renewal_grace(const config::platform_settings& platform) {
-  const duration left = platform.cancel - longest_worker_lease(platform) - cancellation_margin;
+  const duration left =
+      platform.cancellation_deadline - longest_worker_lease(platform) - cancellation_margin;
   return std::max<duration>(duration::zero(), left);
 }
 
 job_store::cancellation_acknowledgement acknowledgement_of_cancellations(
     const config::platform_settings& platform) {
-  return platform.cancel < longest_worker_lease(platform) + cancellation_margin
+  return platform.cancellation_deadline < longest_worker_lease(platform) + cancellation_margin
              ? job_store::cancellation_acknowledgement::when_tasks_are_gone
              : job_store::cancellation_acknowledgement::when_stored;
 }
--- a/src/leader/scale_in.cpp
+++ b/src/leader/scale_in.cpp
@@ -70,7 +70,8 @@
   const duration silence = runtime_.now() - worker.last_heartbeat;
   const duration limit = zones_.silence_limit();
   // A spot machine that falls silent has most likely been taken without notice.
-  const duration patience = worker.pool.spot ? std::max(limit / 2, platform_.report * 3) : limit;
+  const duration patience =
+      worker.pool.spot ? std::max(limit / 2, platform_.worker_heartbeat_interval * 3) : limit;
   if (silence <= patience + zones_.allowance(zone)) return false;
   return silence > limit + zone_health::cut_off_allowance || !zones_.in_doubt(zone);
 }
@@ -110,8 +111,9 @@
   std::size_t left = idle.size();
   for (const auto& [idle_since, name] : idle) {
     const duration idle_time = now - idle_since;
-    const bool early = left > reserve && idle_time >= rules_.idle_return * early_return_factor;
-    if (!early && idle_time < rules_.idle_return) break;
+    const bool early =
+        left > reserve && idle_time >= rules_.idle_machine_timeout * early_return_factor;
+    if (!early && idle_time < rules_.idle_machine_timeout) break;
     if (!paid_long_enough(name)) continue;
     machines_.release(name, cloud::release_reason::idle);
     --left;
--- a/src/leader/scheduling_loop.cpp
+++ b/src/leader/scheduling_loop.cpp
@@ -32,7 +32,7 @@
       machines_(context.machines),
       metrics_(context.measured),
       token_(context.token),
-      shortest_pause_(context.rules.pass_interval),
+      shortest_pause_(context.rules.min_scheduling_interval),
       callbacks_(std::move(owner)),
       timer_(runtime_) {}
 
--- a/src/leader/zone_health.cpp
+++ b/src/leader/zone_health.cpp
@@ -50,7 +50,7 @@
     auto& zone = zones[machine.pool.zone];
     ++zone.total;
     if (silence > silence_limit() / 2) ++zone.silent;
-    if (silence > platform_.report * overdue_periods) ++zone.overdue;
+    if (silence > platform_.worker_heartbeat_interval * overdue_periods) ++zone.overdue;
     if (worker != nullptr && worker->unreachable_since) ++zone.unreachable;
   }
   return zones;
@@ -85,7 +85,8 @@
 }
 
 duration zone_health::silence_limit() const {
-  return rules_.silent_release > duration::zero() ? rules_.silent_release : platform_.worker_lease;
+  return rules_.missed_heartbeat_timeout > duration::zero() ? rules_.missed_heartbeat_timeout
+                                                            : platform_.worker_lease;
 }
 
 }  // namespace gingerdrift::leader
--- a/tests/lease_policy_test.cpp
+++ b/tests/lease_policy_test.cpp
@@ -8,7 +8,7 @@
 namespace {
 config::platform_settings with_times(seconds cancel, seconds lease) {
   config::platform_settings platform;
-  platform.cancel = cancel;
+  platform.cancellation_deadline = cancel;
   platform.worker_lease = lease;
   return platform;
 }
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -111,16 +111,16 @@
   EXPECT_EQ(sample.contested_pool_delay, defaults.contested_pool_delay);
   EXPECT_EQ(sample.gang_reservation_delay, defaults.gang_reservation_delay);
   EXPECT_EQ(sample.gang_reservation_share, defaults.gang_reservation_share);
-  EXPECT_EQ(sample.pass_interval, defaults.pass_interval);
-  EXPECT_EQ(sample.idle_return, defaults.idle_return);
+  EXPECT_EQ(sample.min_scheduling_interval, defaults.min_scheduling_interval);
+  EXPECT_EQ(sample.idle_machine_timeout, defaults.idle_machine_timeout);
   EXPECT_EQ(sample.refusal_backoff, defaults.refusal_backoff);
-  EXPECT_EQ(sample.boot_patience, defaults.boot_patience);
-  EXPECT_EQ(sample.silent_release, defaults.silent_release);
+  EXPECT_EQ(sample.boot_timeout_factor, defaults.boot_timeout_factor);
+  EXPECT_EQ(sample.missed_heartbeat_timeout, defaults.missed_heartbeat_timeout);
   EXPECT_EQ(sample.machines_max, defaults.machines_max);
   EXPECT_EQ(sample.quarantine_after_failed_jobs, defaults.quarantine_after_failed_jobs);
   EXPECT_EQ(sample.failing_job_backoff, defaults.failing_job_backoff);
-  EXPECT_EQ(sample.waiting_submissions, defaults.waiting_submissions);
-  EXPECT_EQ(sample.final_cache, defaults.final_cache);
+  EXPECT_EQ(sample.max_waiting_submissions, defaults.max_waiting_submissions);
+  EXPECT_EQ(sample.terminal_state_cache_size, defaults.terminal_state_cache_size);
 }
 
 TEST(settings, of_the_operators_are_checked_element_by_element) {
--- a/tests/store_test.cpp
+++ b/tests/store_test.cpp
@@ -262,7 +262,8 @@
 
   int refused = 0;
   for (int i = 0; i < 100; ++i)
-    client.get("gd/leader", [&](const kvstore::result& answer) { refused += answer.over_rate(); });
+    client.get("gd/leader",
+               [&](const kvstore::result& answer) { refused += answer.rate_limited(); });
   int renewed = 0;
   client.renew(lease, seconds(1), [&](const kvstore::result& answer) { renewed += answer.ok(); });
   net.run_for(seconds(1));
--- a/tests/support/sim_service.cpp
+++ b/tests/support/sim_service.cpp
@@ -61,11 +61,11 @@
     out << "[[params.teams]]\nname = \"" << team.name << "\"\ngpus = " << team.gpus
         << "\ngpus_max = " << team.gpus_max << "\n";
   }
-  out << "[params.workers]\nreport_s = " << to_seconds(own.report)
+  out << "[params.workers]\nreport_s = " << to_seconds(own.worker_heartbeat_interval)
       << "\nlease_s = " << to_seconds(own.worker_lease)
-      << "\ngang_wait_s = " << to_seconds(own.gang_wait)
-      << "\ngang_peer_s = " << to_seconds(own.gang_peer)
-      << "\ncancel_s = " << to_seconds(own.cancel) << "\n";
+      << "\ngang_wait_s = " << to_seconds(own.gang_start_timeout)
+      << "\ngang_peer_s = " << to_seconds(own.gang_peer_loss_timeout)
+      << "\ncancel_s = " << to_seconds(own.cancellation_deadline) << "\n";
   const auto write_limits = [&out](const char* table, const kvstore::service_limits& limits) {
     out << "[params." << table << "]\nrps = " << limits.requests_per_s
         << "\nwrite_rps = " << limits.writes_per_s << "\nvalue_kb = " << limits.value_kb
@@ -137,11 +137,11 @@
         .name = name, .gpus = gpus * shape.quota_factor, .gpus_max = gpus_max * shape.quota_factor};
   };
   settings.teams = {team("red", 16, 32), team("blue", 8, 48), team("guest", 0, 24)};
-  settings.report = from_seconds(shape.heartbeat_s);
+  settings.worker_heartbeat_interval = from_seconds(shape.heartbeat_s);
   settings.worker_lease = from_seconds(shape.lease_s);
-  settings.gang_wait = from_seconds(shape.gang_wait_s);
-  settings.gang_peer = from_seconds(shape.gang_peer_s);
-  settings.cancel = from_seconds(shape.cancel_s);
+  settings.gang_start_timeout = from_seconds(shape.gang_wait_s);
+  settings.gang_peer_loss_timeout = from_seconds(shape.gang_peer_s);
+  settings.cancellation_deadline = from_seconds(shape.cancel_s);
   settings.list_lag = from_seconds(shape.list_lag_s);
   settings.state_limits = {
       .requests_per_s = 150, .writes_per_s = 60, .value_kb = 8, .txn_operations = 24};
@@ -201,8 +201,8 @@
 
 void sim_service::start_present(process& started, const config::platform_settings& own) {
   config::operator_settings rules;
-  rules.pass_interval = from_seconds(site.shape.scheduling_interval_s);
-  rules.final_cache = site.shape.final_cache;
+  rules.min_scheduling_interval = from_seconds(site.shape.scheduling_interval_s);
+  rules.terminal_state_cache_size = site.shape.final_cache;
   started.executor =
       std::make_unique<inline_scheduling_executor>(*started.runtime, admission::policy{});
   started.controller = std::make_unique<daemon::controller>(*started.runtime, *started.executor,
