--- a/src/config/field.cpp
+++ b/src/config/field.cpp
@@ -11,9 +11,9 @@
 
 double field::check_number(std::optional<double> number, const number_range& range) const {
   if (!number || !std::isfinite(*number)) fail("must be a number");
-  if (*number < range.least || *number > range.most) {
+  if (*number < range.min || *number > range.max) {
     std::ostringstream reason;
-    reason << "must be between " << range.least << " and " << range.most;
+    reason << "must be between " << range.min << " and " << range.max;
     fail(reason.str());
   }
   return *number;
--- a/src/config/field.hpp
+++ b/src/config/field.hpp
@@ -8,18 +8,18 @@
 
 /// A closed interval of permitted numbers.
 struct number_range {
-  double least = 0;
-  double most = 0;
+  double min = 0;
+  double max = 0;
 };
 
-/// Names a field of a settings file, for complaints, and checks its value.
+/// Identifies a field of a settings file in error messages, and checks its value.
 class field {
  public:
   field(std::string file, std::string path) : file_(std::move(file)), path_(std::move(path)) {}
 
-  /// Throws a `settings_error` about this field.
+  /// Throws a `settings_error` that names this field.
   [[noreturn]] void fail(const std::string& reason) const;
-  /// The number, if there is one within the range; fails otherwise.
+  /// Returns the number. Throws a `settings_error` if it is absent, not finite or out of `range`.
   double check_number(std::optional<double> number, const number_range& range) const;
 
  private:
--- a/src/config/operator_settings.cpp
+++ b/src/config/operator_settings.cpp
@@ -18,22 +18,23 @@
 namespace gingerdrift::config {
 
 namespace {
-/// Where an element's value goes: a time in seconds, a number, a whole number, or words.
-using target =
+/// The member that an element's value is stored in: a duration (given in seconds), a number, a
+/// whole number, or a list of words.
+using setting_member =
     std::variant<duration operator_settings::*, double operator_settings::*,
                  std::uint32_t operator_settings::*, std::vector<std::string> operator_settings::*>;
 
-/// An element that the file may have.
-struct element {
-  const char* path;  // section and name
-  target value;
-  number_range range = {};  // not of words
+/// An element that the settings file may contain.
+struct element_spec {
+  const char* path;  // section and name, separated by a slash
+  setting_member member;
+  number_range range = {};  // permitted values; unused for a list of words
 };
 
 constexpr double day_s = 86400;
 
 using fields = operator_settings;
-const element elements[] = {
+const element_spec known_elements[] = {
     {"leadership/lease_s", &fields::leader_lease, {1, 60}},
     {"admission/pool_order", &fields::pool_order},
     {"admission/create_delay_s", &fields::variant_creation_delay, {0, 3600}},
@@ -56,20 +57,21 @@
     {"front/final_cache", &fields::terminal_state_cache_size, {16, 1000000}},
 };
 
-const element* find_element(const std::string& path) {
-  const auto* found = std::find_if(std::begin(elements), std::end(elements),
-                                   [&](const element& element) { return path == element.path; });
-  return found == std::end(elements) ? nullptr : found;
+const element_spec* find_element(const std::string& path) {
+  const auto* found =
+      std::find_if(std::begin(known_elements), std::end(known_elements),
+                   [&](const element_spec& element) { return path == element.path; });
+  return found == std::end(known_elements) ? nullptr : found;
 }
 
 bool is_section(const std::string& name) {
   const std::string prefix = name + "/";
-  return std::any_of(std::begin(elements), std::end(elements), [&](const element& element) {
-    return std::string(element.path).rfind(prefix, 0) == 0;
-  });
+  return std::any_of(
+      std::begin(known_elements), std::end(known_elements),
+      [&](const element_spec& element) { return std::string(element.path).rfind(prefix, 0) == 0; });
 }
 
-/// Nothing if any part of the text is no number.
+/// Returns the number that the whole text forms, or nothing if it does not form one.
 std::optional<double> parse_number(const std::string& text) {
   double value = 0;
   const char* last = text.data() + text.size();
@@ -78,22 +80,22 @@
   return value;
 }
 
-std::vector<std::string> words_of(const std::string& text) {
+std::vector<std::string> split_words(const std::string& text) {
   std::istringstream stream(text);
   return {std::istream_iterator<std::string>(stream), std::istream_iterator<std::string>()};
 }
 
-/// The words, with one space between each two.
-std::string normalized(const std::string& text) {
-  std::string out;
-  for (const auto& word : words_of(text)) out += (out.empty() ? "" : " ") + word;
-  return out;
+/// Returns the words of the text, separated by single spaces.
+std::string collapse_whitespace(const std::string& text) {
+  std::string joined;
+  for (const auto& word : split_words(text)) joined += (joined.empty() ? "" : " ") + word;
+  return joined;
 }
 
-/// Parses an element's text, checks it, and stores the value.
-class value_reader {
+/// Parses and checks the text of one element, and stores the value in the settings.
+class value_parser {
  public:
-  value_reader(field where, const std::string& text, const number_range& range,
+  value_parser(field where, const std::string& text, const number_range& range,
                operator_settings& settings)
       : field_(std::move(where)), text_(text), range_(range), settings_(settings) {}
 
@@ -107,7 +109,7 @@
     settings_.*member = static_cast<std::uint32_t>(value);
   }
   void operator()(std::vector<std::string> operator_settings::*member) {
-    const auto words = words_of(text_);
+    const auto words = split_words(text_);
     const std::set<std::string> distinct(words.begin(), words.end());
     if (distinct != std::set<std::string>{"spot", "on_demand"} || words.size() != 2)
       field_.fail("must name spot and on_demand, each once");
@@ -123,7 +125,7 @@
   operator_settings& settings_;
 };
 
-/// Reads the sections of a file one by one.
+/// Reads the sections of a file into settings. Elements that are not read keep their defaults.
 class section_reader {
  public:
   explicit section_reader(const std::string& file) : file_(file) {}
@@ -141,20 +143,20 @@
 
  private:
   void read_element(const std::string& path, const pugi::xml_node& node) {
-    const element* element = find_element(path);
+    const element_spec* element = find_element(path);
     if (element == nullptr) throw settings_error(file_, path, "unknown element");
-    const bool is_new = seen_.insert(path).second;
-    if (!is_new) throw settings_error(file_, path, "is there twice");
-    const std::string text = normalized(node.child_value());
-    std::visit(value_reader(field(file_, path), text, element->range, settings_), element->value);
+    const bool is_new = visited_paths_.insert(path).second;
+    if (!is_new) throw settings_error(file_, path, "occurs more than once");
+    const std::string text = collapse_whitespace(node.child_value());
+    std::visit(value_parser(field(file_, path), text, element->range, settings_), element->member);
   }
 
   const std::string& file_;
-  std::set<std::string> seen_;
+  std::set<std::string> visited_paths_;
   operator_settings settings_;
 };
 
-void load(const std::string& file, pugi::xml_document& document) {
+void load_document(const std::string& file, pugi::xml_document& document) {
   const auto loaded = document.load_file(file.c_str());
   if (loaded) return;
   throw settings_error(
@@ -165,7 +167,7 @@
 
 operator_settings read_operator_settings(const std::string& file) {
   pugi::xml_document document;
-  load(file, document);
+  load_document(file, document);
   const auto root = document.document_element();
   if (std::string(root.name()) != "gingerdrift")
     throw settings_error(file, root.name(), "the root element must be gingerdrift");
--- a/src/config/operator_settings.hpp
+++ b/src/config/operator_settings.hpp
@@ -8,8 +8,8 @@
 
 namespace gingerdrift::config {
 
-/// The operators' own settings (XML). Every field has a default; unknown elements are errors.
-/// docs/operations.md explains each.
+/// Settings that the operators choose (XML). Every field has a default; unknown elements are
+/// errors. docs/operations.md explains each field.
 struct operator_settings {
   // leadership
   duration leader_lease = seconds(4);
@@ -28,7 +28,7 @@
   duration idle_machine_timeout = seconds(25);
   duration refusal_backoff = seconds(10);
   double boot_timeout_factor = 3.0;
-  duration missed_heartbeat_timeout = seconds(0);  // 0: the workers' lease
+  duration missed_heartbeat_timeout = seconds(0);  // 0: as long as a worker's lease
   std::uint32_t machines_max = 10000;
   // workers
   std::uint32_t quarantine_after_failed_jobs = 2;
@@ -38,8 +38,8 @@
   std::uint32_t terminal_state_cache_size = 16384;
 };
 
-/// Reads the operators' file. Throws `settings_error` if it is malformed, has an element that is
-/// not known or twice there, or a value out of its range.
+/// Reads the operators' settings file. Throws `settings_error` if the file is malformed, if an
+/// element is unknown or occurs twice, or if a value is out of its range.
 operator_settings read_operator_settings(const std::string& file);
 
 }  // namespace gingerdrift::config
--- a/src/config/platform_settings.hpp
+++ b/src/config/platform_settings.hpp
@@ -11,14 +11,15 @@
 
 namespace gingerdrift::config {
 
-/// Another controller, as the platform names it.
+/// Another controller, as listed in the platform's settings.
 struct peer {
   node_name node;
   zone_name zone;
   std::string address;
 };
 
-/// A team's quota. A limit or guarantee of 0 means none.
+/// A team's quota: a guaranteed amount (`cpus`, `gpus`) and a limit (`cpus_max`, `gpus_max`). A
+/// guarantee or limit of 0 means none.
 struct team {
   std::string name;
   double cpus = 0;
@@ -27,14 +28,19 @@
   double gpus_max = 0;
 };
 
-/// What the platform hands over (TOML). Unknown fields are ignored.
+/// Settings that the platform provides (TOML). Unknown fields are ignored. Addresses are an
+/// IPv4 address with a port.
 struct platform_settings {
   node_name node;
   zone_name zone;
+  /// Address that this controller serves users and workers on.
   std::string listen;
+  /// Address that this controller serves its peers on.
   std::string peer_listen;
   std::vector<peer> peers;
+  /// Address of the cloud's API.
   std::string cloud;
+  /// Address of the state service.
   std::string state;
   std::vector<zone_name> zones;
   duration clock_offset = milliseconds(100);
@@ -43,19 +49,23 @@
   duration worker_lease = seconds(24);
   duration gang_start_timeout = seconds(50);
   duration gang_peer_loss_timeout = seconds(4);
-  /// How soon after its confirmation a cancellation has to be carried out. It may be below the
-  /// workers' lease: users are then told once the tasks are gone.
+  /// Time from the confirmation of a cancellation until it has to be carried out. If it is shorter
+  /// than the workers' lease, a cancellation is confirmed to its user only once the job's tasks are
+  /// gone.
   duration cancellation_deadline = seconds(44);
   kvstore::service_limits state_limits;
-  /// What the state service's limits will be from some moment on; it comes without notice.
+  /// Limits that the state service will change to. The change comes into force without notice.
   std::optional<kvstore::service_limits> announced_state_limits;
+  /// Requests per second that the cloud permits.
   double cloud_rps = 2;
+  /// Time that the machine list returned by the cloud may lag behind the actual state.
   duration list_lag = seconds(5);
   double memory_mb = 128;
   std::uint32_t max_connections = 1000;
 };
 
-/// Reads the platform's file. Throws `settings_error` if a field is missing or out of its range.
+/// Reads the platform's settings file. Throws `settings_error` if the file is malformed, or if a
+/// field is missing, of the wrong type or out of its range.
 platform_settings read_platform_settings(const std::string& file);
 
 }  // namespace gingerdrift::config
--- a/src/config/settings_error.hpp
+++ b/src/config/settings_error.hpp
@@ -5,7 +5,8 @@
 
 namespace gingerdrift::config {
 
-/// Names the file, the field and the reason; the program ends with status 2 on it.
+/// Error in a settings file. The message names the file, the field and the reason; the program
+/// exits with status 2 on this error.
 class settings_error : public std::runtime_error {
  public:
   settings_error(const std::string& file, const std::string& field, const std::string& reason)
--- a/src/config/toml_table.cpp
+++ b/src/config/toml_table.cpp
@@ -53,8 +53,8 @@
   return field_of(name).check_number(value, range);
 }
 
-duration toml_table::time(const std::string& name, duration fallback,
-                          const number_range& range) const {
+duration toml_table::duration_value(const std::string& name, duration fallback,
+                                    const number_range& range) const {
   return from_seconds(number(name, to_seconds(fallback), range));
 }
 
@@ -70,7 +70,7 @@
 }
 
 void toml_table::for_each_table(const std::string& name,
-                                const std::function<void(const toml_table&)>& use) const {
+                                const std::function<void(const toml_table&)>& visit) const {
   const auto* node = find(name);
   if (node == nullptr) return;
   if (!node->is_array()) field_of(name).fail("must be an array of tables");
@@ -78,7 +78,7 @@
   for (const auto& item : *node->as_array()) {
     const std::string item_name = name + "[" + std::to_string(index++) + "]";
     if (!item.is_table()) field_of(item_name).fail("must be a table");
-    use({file_, path_ + item_name + ".", item.as_table()});
+    visit({file_, path_ + item_name + ".", item.as_table()});
   }
 }
 
--- a/src/kvstore/client.cpp
+++ b/src/kvstore/client.cpp
@@ -7,7 +7,8 @@
 namespace {
 constexpr duration request_deadline = milliseconds(1500);
 constexpr duration list_deadline = milliseconds(4000);
-/// For how long beyond its own waiting time a watch may stay unanswered.
+/// Time that the response to a watch may take beyond the time for which the watch waits for
+/// changes.
 constexpr duration watch_margin = seconds(3);
 constexpr std::size_t page_size = 200;
 }  // namespace
@@ -18,28 +19,29 @@
 
 void client::send(net::request message, const request_options& options, result_fn done) {
   const time_point now = runtime_.now();
-  if (!budget_.reserve(now, options.writes, options.urgency)) return refuse(std::move(done));
+  if (!budget_.reserve(now, options.writes, options.urgency))
+    return reject_rate_limited(std::move(done));
   runtime_.call(address_, std::move(message), options.deadline,
                 [this, sent = now, writes = options.writes,
                  done = std::move(done)](const net::response& response) {
-                  answered(wire::decode_response(response, sent), writes, done);
+                  handle_result(wire::decode_response(response, sent), writes, done);
                 });
 }
 
-void client::answered(const result& answer, double writes, const result_fn& done) {
+void client::handle_result(const result& received, double writes, const result_fn& done) {
   const time_point now = runtime_.now();
-  const bool failed = answer.no_answer() || answer.unavailable();
+  const bool failed = received.no_answer() || received.unavailable();
   (failed ? last_unavailable_time_ : last_response_time_) = now;
-  if (answer.rate_limited()) budget_.refused_for_rate(now, writes);
-  done(answer);
+  if (received.rate_limited()) budget_.handle_rate_limit_error(now, writes);
+  done(received);
 }
 
-void client::refuse(result_fn done) {
+void client::reject_rate_limited(result_fn done) {
   runtime_.after(duration::zero(), [done = std::move(done), now = runtime_.now()] {
-    result refused;
-    refused.status = status_code::rate_limited;
-    refused.sent = now;
-    done(refused);
+    result rejected;
+    rejected.status = status_code::rate_limited;
+    rejected.sent = now;
+    done(rejected);
   });
 }
 
@@ -49,12 +51,12 @@
 
 void client::get_for_user(const std::string& key, result_fn done) {
   if (budget_.reserve_for_user(runtime_.now())) return get(key, std::move(done));
-  refuse(std::move(done));
+  reject_rate_limited(std::move(done));
 }
 
 void client::get_in_background(const std::string& key, result_fn done) {
   if (has_spare_requests()) return get(key, std::move(done));
-  refuse(std::move(done));
+  reject_rate_limited(std::move(done));
 }
 
 void client::list(const std::string& prefix, const std::string& after, result_fn done) {
@@ -64,7 +66,7 @@
 void client::list_in_background(const std::string& prefix, const std::string& after,
                                 std::size_t limit, result_fn done) {
   if (has_spare_requests()) return list_page(prefix, after, limit, std::move(done));
-  refuse(std::move(done));
+  reject_rate_limited(std::move(done));
 }
 
 void client::list_page(const std::string& prefix, const std::string& after, std::size_t limit,
@@ -74,7 +76,7 @@
 
 void client::compare_for_user(const std::vector<condition>& conditions, result_fn done) {
   if (budget_.reserve_for_user(runtime_.now())) return txn(conditions, {}, std::move(done));
-  refuse(std::move(done));
+  reject_rate_limited(std::move(done));
 }
 
 void client::txn(const std::vector<condition>& conditions, const std::vector<operation>& operations,
--- a/src/kvstore/client.hpp
+++ b/src/kvstore/client.hpp
@@ -15,64 +15,74 @@
 
 /// Client of the state service, a replicated key-value store with leases and transactions.
 ///
-/// Requests that the controller's budget has no room for are not sent: they are answered with
-/// `rate_limited`, as the service itself would. Every request calls back once, on the loop's
-/// thread; the client has to outlive its requests.
+/// A request that exceeds the controller's budget is not sent; its result is `rate_limited`, as if
+/// the service itself had refused it. Every request calls `done` once, on the event loop's thread.
+/// The client has to outlive its requests.
 class client {
  public:
-  /// `announced`: the rates to use once the service refuses the present ones.
+  /// `announced`: limits whose rates are used once the service refuses the current rates.
   client(net::runtime& runtime, std::string address, const service_limits& limits,
          const std::optional<service_limits>& announced, const limit_shares& shares);
 
+  /// Reads a key.
   void get(const std::string& key, result_fn done);
-  /// For users' questions: within a budget of its own, so that however many ask, elections and
-  /// lease renewals still get through.
+  /// Reads a key on behalf of a user. Such requests also have a budget of their own, so that
+  /// elections and lease renewals still succeed however many requests users make.
   void get_for_user(const std::string& key, result_fn done);
-  /// For what may wait: from the half of the budget that is left over only, so that elections,
-  /// renewals and users' questions go first. `rate_limited` where there is none.
+  /// Reads a key for work that can wait. The request is sent only while at least half of the
+  /// request budget is left, so that elections, renewals and users' requests take precedence.
+  /// Otherwise the result is `rate_limited`.
   void get_in_background(const std::string& key, result_fn done);
-  /// A page of the entries with this prefix, behind the key `after` unless it is empty.
+  /// Reads a page of the entries whose keys have this prefix, starting after the key `after` unless
+  /// that is empty.
   void list(const std::string& prefix, const std::string& after, result_fn done);
-  /// A page of at most `limit` entries, within the same budget as `get_in_background`.
+  /// Reads a page of at most `limit` entries under the same rule as `get_in_background`.
   void list_in_background(const std::string& prefix, const std::string& after, std::size_t limit,
                           result_fn done);
-  /// Only compares, for a user's question: `conflict` with the keys that differ.
+  /// Checks conditions on behalf of a user, without a change. The result is `conflict`, with the
+  /// keys whose condition does not hold, if there are any. Uses the same budget as `get_for_user`.
   void compare_for_user(const std::vector<condition>& conditions, result_fn done);
-  /// All operations if all conditions hold, otherwise none. Without an answer it may be carried out
-  /// at any later moment.
+  /// Carries out all operations if all conditions hold, and none otherwise. If the result is
+  /// `no_answer`, the service may still carry out the transaction at any later time.
   void txn(const std::vector<condition>& conditions, const std::vector<operation>& operations,
            result_fn done);
+  /// Requests a new lease.
   void grant(duration ttl, result_fn done);
-  /// Essential: a renewal is sent however little is left of the budget, so that a node does not
-  /// lose its lease to a herd of workers and users that ask it.
+  /// Renews a lease. The request is essential: it is sent even if the budget is used up, so that a
+  /// node does not lose its lease because of the load that many workers and users put on it.
   void renew(std::uint64_t lease, duration deadline, result_fn done);
+  /// Gives up a lease.
   void drop(std::uint64_t lease, result_fn done);
-  /// Changes of keys with this prefix from that revision on; answered without any after `wait`.
+  /// Waits for changes of keys with this prefix, from the revision `from` on. If there are none
+  /// within `wait`, the result has no entries.
   void watch(const std::string& prefix, store_revision from, duration wait, result_fn done);
 
-  /// What the leader's records may take now; a little is left for submissions.
+  /// Returns the number of writes that the leader's records may use now. Some of the budget is left
+  /// for job submissions.
   double writes_for_records() { return budget_.writes_for_records(runtime_.now()); }
-  /// Writes per second.
+  /// Returns the rate of this controller's write budget, in writes per second.
   double write_rate() const { return budget_.write_rate(); }
-  /// The leader does most of the writing.
+  /// Sets the share of the service's write limit that this controller may use. The leader needs the
+  /// largest share because it does most of the writing.
   void set_write_share(double share) { budget_.set_write_share(runtime_.now(), share); }
-  /// Last time anything but silence or `unavailable` came back.
+  /// Returns when the last result other than `no_answer` or `unavailable` arrived.
   time_point last_response_time() const { return last_response_time_; }
+  /// Returns when a request last ended with `no_answer` or `unavailable`.
   time_point last_unavailable_time() const { return last_unavailable_time_; }
 
  private:
-  /// What a request costs, and how long its answer is awaited.
+  /// Time limit for the response to a request, the number of its writes, and its urgency.
   struct request_options {
     duration deadline;
     double writes = 0;
     request_urgency urgency = request_urgency::ordinary;
   };
   void send(net::request message, const request_options& options, result_fn done);
-  void answered(const result& answer, double writes, const result_fn& done);
+  void handle_result(const result& received, double writes, const result_fn& done);
   void list_page(const std::string& prefix, const std::string& after, std::size_t limit,
                  result_fn done);
-  /// Answers later with `rate_limited`, without a request.
-  void refuse(result_fn done);
+  /// Calls `done` later with `rate_limited`, without sending a request.
+  void reject_rate_limited(result_fn done);
   bool has_spare_requests() { return budget_.has_spare_requests(runtime_.now()); }
 
   net::runtime& runtime_;
--- a/src/kvstore/json_fields.hpp
+++ b/src/kvstore/json_fields.hpp
@@ -6,12 +6,12 @@
 
 namespace gingerdrift::kvstore {
 
-/// The text in a field of a stored record; empty if the record is no object or the field is absent
-/// or no text. Never throws.
+/// Returns the string in a field of a stored record. Returns an empty string if the record is not
+/// an object, or if the field is absent or not a string. Never throws.
 std::string text_field(const nlohmann::json& record, const char* field);
 
-/// The unsigned number in a field of a stored record; 0 if the record is no object or the field is
-/// absent or no unsigned number. Never throws.
+/// Returns the unsigned integer in a field of a stored record. Returns 0 if the record is not an
+/// object, or if the field is absent or not an unsigned integer. Never throws.
 std::uint64_t number_field(const nlohmann::json& record, const char* field);
 
 }  // namespace gingerdrift::kvstore
--- a/src/kvstore/request_budget.cpp
+++ b/src/kvstore/request_budget.cpp
@@ -7,13 +7,16 @@
 namespace gingerdrift::kvstore {
 
 namespace {
-/// Of the write budget, what records leave: a busy leader's would otherwise take every write as it
-/// falls free, and who submits a job there would be told to come back.
-constexpr double submission_share = 0.1;
-constexpr double most_writes_for_submissions = 3;
-/// For how long after a refusal the announced rates are used. The former ones are tried again
-/// then: a refusal may also come from a moment's burst of all controllers together.
-constexpr duration reduction_time = seconds(60);
+/// Share of the write budget that the leader's records leave to job submissions. Otherwise the
+/// records of a busy leader would use up every write as soon as it becomes available, and users who
+/// submit jobs to the leader would be told to retry later.
+constexpr double submission_write_share = 0.1;
+/// Maximum number of writes that are left to job submissions.
+constexpr double max_submission_writes = 3;
+/// Time for which the announced rates are used after a rate limit error. Then the earlier rates are
+/// tried again, because the error may also have been caused by a short burst of all controllers
+/// together.
+constexpr duration announced_rates_duration = seconds(60);
 }  // namespace
 
 request_budget::request_budget(const service_limits& limits,
@@ -27,12 +30,12 @@
       user_requests_(limits.requests_per_s * shares.user_requests) {}
 
 bool request_budget::reserve(time_point now, double writes, request_urgency urgency) {
-  if (reduced_until_ != time_point{} && now >= reduced_until_) {
-    reduced_until_ = {};
+  if (announced_rates_until_ != time_point{} && now >= announced_rates_until_) {
+    announced_rates_until_ = {};
     apply_rates(now);
   }
-  const bool affordable = requests_.available(now) >= 1 && writes_.available(now) >= writes;
-  if (!affordable && urgency == request_urgency::ordinary) return false;
+  const bool is_within_budget = requests_.available(now) >= 1 && writes_.available(now) >= writes;
+  if (!is_within_budget && urgency == request_urgency::ordinary) return false;
   requests_.spend(now, 1);
   writes_.spend(now, writes);
   return true;
@@ -43,9 +46,9 @@
 }
 
 double request_budget::writes_for_records(time_point now) {
-  const double for_submissions =
-      std::min(most_writes_for_submissions, writes_.rate() * submission_share);
-  return writes_.available(now) - for_submissions;
+  const double submission_writes =
+      std::min(max_submission_writes, writes_.rate() * submission_write_share);
+  return writes_.available(now) - submission_writes;
 }
 
 void request_budget::set_write_share(time_point now, double share) {
@@ -53,11 +56,12 @@
   apply_rates(now);
 }
 
-/// The service counts writes and requests alike: which limit it was, it does not say.
-void request_budget::refused_for_rate(time_point now, double writes) {
+/// The service answers with the same error for its request limit and for its write limit, so that
+/// it is not known which of them was exceeded.
+void request_budget::handle_rate_limit_error(time_point now, double writes) {
   if (announced_) {
-    if (now >= reduced_until_) spdlog::info("store_announced_limits_in_use");
-    reduced_until_ = now + reduction_time;
+    if (now >= announced_rates_until_) spdlog::info("store_announced_limits_in_use");
+    announced_rates_until_ = now + announced_rates_duration;
     apply_rates(now);
   }
   requests_.drain(now);
@@ -66,7 +70,7 @@
 
 void request_budget::apply_rates(time_point now) {
   service_limits limits = limits_;
-  if (announced_ && now < reduced_until_) {
+  if (announced_ && now < announced_rates_until_) {
     limits.requests_per_s = std::min(limits.requests_per_s, announced_->requests_per_s);
     limits.writes_per_s = std::min(limits.writes_per_s, announced_->writes_per_s);
   }
--- a/src/kvstore/request_budget.hpp
+++ b/src/kvstore/request_budget.hpp
@@ -9,40 +9,45 @@
 
 namespace gingerdrift::kvstore {
 
-/// Of the state service's limits, what one controller may use: shares between 0 and 1.
+/// Shares of the state service's rate limits that one controller may use, each between 0 and 1.
 struct limit_shares {
   double requests = 1;
   double writes = 1;
-  double user_requests = 1;  // for users' questions
+  double user_requests = 1;  // requests made on behalf of users, as a share of the request limit
 };
 
-/// Essential requests are sent whatever is left of the budget, which then makes up for it.
+/// Urgency of a request. Ordinary requests are sent only if the budget suffices. Essential ones are
+/// always sent; the budget may become negative, so that ordinary requests wait longer afterwards.
 enum class request_urgency : std::uint8_t { ordinary, essential };
 
 /// One controller's budget of requests and writes to the state service.
 ///
-/// Where lower limits were announced, a refusal for rate may mean that they have come into force:
-/// they are used for a while from then on.
+/// If lower limits were announced, a rate limit error may mean that they have come into force. For
+/// some time after such an error, no more than the announced rates is used.
 class request_budget {
  public:
-  /// `announced`: the rates to use once the service refuses the present ones.
+  /// `announced`: limits whose rates are used once the service refuses the current rates.
   request_budget(const service_limits& limits, const std::optional<service_limits>& announced,
                  const limit_shares& shares);
 
-  /// Takes a request with that many writes; false if it is ordinary and there is no room for it.
+  /// Reserves a request with `writes` writes. Returns false and reserves nothing if the request is
+  /// ordinary and exceeds the budget.
   bool reserve(time_point now, double writes, request_urgency urgency);
-  /// Takes one of the requests set aside for users' questions.
+  /// Reserves one request of the budget for users. Returns false if that budget is used up.
   bool reserve_for_user(time_point now) { return user_requests_.take(now); }
-  /// Whether half of a second's requests are left, so that what may wait can be asked.
+  /// Reports whether at least half of the requests of one second are left, so that requests that
+  /// can wait may be sent.
   bool has_spare_requests(time_point now);
-  /// Writes that the leader's records may take now; a little is left for submissions.
+  /// Returns the number of writes that the leader's records may use now. Some of the budget is left
+  /// for job submissions.
   double writes_for_records(time_point now);
-  /// Writes per second.
+  /// Returns the rate of the write budget, in writes per second.
   double write_rate() const { return writes_.rate(); }
 
+  /// Sets the share of the service's write limit that this controller may use.
   void set_write_share(time_point now, double share);
-  /// The service refused a request with that many writes for its rate.
-  void refused_for_rate(time_point now, double writes);
+  /// Reacts to a rate limit error of the service for a request with `writes` writes.
+  void handle_rate_limit_error(time_point now, double writes);
 
  private:
   void apply_rates(time_point now);
@@ -50,7 +55,7 @@
   service_limits limits_;
   std::optional<service_limits> announced_;
   limit_shares shares_;
-  time_point reduced_until_{};  // the announced rates are in use until then
+  time_point announced_rates_until_{};  // time until which the announced rates are in use
   rate_budget requests_;
   rate_budget writes_;
   rate_budget user_requests_;
--- a/src/kvstore/wire_codec.cpp
+++ b/src/kvstore/wire_codec.cpp
@@ -18,7 +18,7 @@
 constexpr const char* store = "/store";
 constexpr const char* transaction = "/multi";
 constexpr const char* leases = "/leases";
-constexpr const char* renew = "/touch";  // behind the lease's
+constexpr const char* renew = "/touch";  // appended to the path of the lease
 constexpr const char* changes = "/changes";
 }  // namespace path
 
@@ -37,20 +37,20 @@
 constexpr const char* revision = "epoch";
 constexpr const char* lease = "hold";
 constexpr const char* ttl_ms = "ttlMs";
-// Pages:
+// Fields of a page:
 constexpr const char* entries = "entries";
 constexpr const char* more = "truncated";
-// Transactions:
+// Fields of a transaction:
 constexpr const char* conditions = "if";
 constexpr const char* operations = "then";
 constexpr const char* put_key = "write";
 constexpr const char* deleted_key = "delete";
 constexpr const char* failed_keys = "failed";
-// Watches, whose changes name keys as transactions do:
+// Fields of a watch's response. Its changes name keys in the same fields as a transaction:
 constexpr const char* changes = "news";
 }  // namespace field
 
-std::int64_t milliseconds_of(duration value) {
+std::int64_t to_milliseconds(duration value) {
   return std::chrono::duration_cast<milliseconds>(value).count();
 }
 
@@ -86,7 +86,7 @@
   return change;
 }
 
-/// A lease that was granted or renewed, or the one that the entry read belongs to.
+/// Decodes the lease that was granted or renewed, or the one that the entry read is attached to.
 void decode_lease(const json& body, result& decoded) {
   if (!body.contains(field::lease)) return;
   const json& lease = body[field::lease];
@@ -94,7 +94,7 @@
   if (!entry_without_lease) decoded.lease = lease.get<std::uint64_t>();
 }
 
-/// Throws on anything that is not as the protocol has it.
+/// Decodes the body of a response. Throws if the body violates the protocol.
 void decode_body(const std::string& text, result& decoded) {
   const json body = json::parse(text);
   if (!body.is_object()) throw std::invalid_argument("not an object");
@@ -140,7 +140,7 @@
   for (const auto& condition : conditions) {
     compares.push_back({{field::key, condition.key}, {field::version, condition.version.value()}});
   }
-  // A transaction that only compares names no operations at all.
+  // A transaction that only checks conditions has no field for operations.
   if (!operations.empty()) {
     json& changes = body[field::operations] = json::array();
     for (const auto& operation : operations) changes.push_back(encode_operation(operation));
@@ -149,7 +149,7 @@
 }
 
 net::request encode_grant(duration ttl) {
-  const json body = {{field::ttl_ms, milliseconds_of(ttl)}};
+  const json body = {{field::ttl_ms, to_milliseconds(ttl)}};
   return {method::post, path::leases, body.dump()};
 }
 
@@ -162,7 +162,7 @@
 net::request encode_watch(const std::string& prefix, store_revision from, duration wait) {
   const std::string target = std::string(path::changes) + "?" + parameter::prefix + prefix + "&" +
                              parameter::from_revision + std::to_string(from.value()) + "&" +
-                             parameter::wait_ms + std::to_string(milliseconds_of(wait));
+                             parameter::wait_ms + std::to_string(to_milliseconds(wait));
   return {method::get, target, {}};
 }
 
@@ -177,9 +177,9 @@
   } catch (const std::exception& error) {
     spdlog::error("store_response_malformed error=\"{}\"", error.what());
   }
-  result none;
-  none.sent = sent;
-  return none;
+  result no_answer;
+  no_answer.sent = sent;
+  return no_answer;
 }
 
 }  // namespace gingerdrift::kvstore::wire
--- a/src/kvstore/wire_codec.hpp
+++ b/src/kvstore/wire_codec.hpp
@@ -8,27 +8,31 @@
 #include "kvstore/types.hpp"
 #include "net/transport.hpp"
 
-/// The state service's protocol: requests as they are sent, and answers as they are read. The names
-/// on the wire occur nowhere else.
+/// Codec of the state service's protocol: encodes requests and decodes responses. The protocol's
+/// names on the wire occur only in this codec.
 namespace gingerdrift::kvstore::wire {
 
-/// The request that reads a key.
+/// Encodes a request that reads a key.
 net::request encode_get(const std::string& key);
-/// A page of at most `limit` entries with this prefix, behind the key `after` unless it is empty.
+/// Encodes a request that reads a page of at most `limit` entries whose keys have this prefix,
+/// starting after the key `after` unless that is empty.
 net::request encode_list(const std::string& prefix, const std::string& after, std::size_t limit);
-/// The request that compares and, if all conditions hold, writes.
+/// Encodes a transaction, which carries out the operations if all conditions hold. It may have no
+/// operations; then it only checks the conditions.
 net::request encode_transaction(const std::vector<condition>& conditions,
                                 const std::vector<operation>& operations);
-/// The request that grants a lease.
+/// Encodes a request for a new lease.
 net::request encode_grant(duration ttl);
-/// The request that renews a lease.
+/// Encodes a request that renews a lease.
 net::request encode_renew(std::uint64_t lease);
-/// The request that gives a lease up.
+/// Encodes a request that gives up a lease.
 net::request encode_drop(std::uint64_t lease);
-/// Changes from that revision on; the service holds the request that long while there are none.
+/// Encodes a request for the changes of keys with this prefix, from the revision `from` on. While
+/// there are none, the service delays its response for up to `wait`.
 net::request encode_watch(const std::string& prefix, store_revision from, duration wait);
 
-/// Never throws: a malformed answer is logged, and counts as none.
+/// Decodes the response to a request that was sent at `sent`. Never throws: a malformed response is
+/// logged, and the result is `no_answer`.
 result decode_response(const net::response& response, time_point sent);
 
 }  // namespace gingerdrift::kvstore::wire
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// Writes a file of the running test, and returns its path.
+/// Writes a settings file whose name contains that of the running test. Returns its path.
 std::string write_file(const std::string& text) {
   const auto* info = ::testing::UnitTest::GetInstance()->current_test_info();
   const auto path = std::filesystem::temp_directory_path() /
@@ -32,7 +32,8 @@
 cancel_s = 44.0
 )";
 
-/// The error that reading a file with this text ends with; empty if it is read.
+/// Returns the message of the error that `read` throws for a file with this text, or an empty
+/// string if it throws none.
 template <typename reader>
 std::string error_of(const reader& read, const std::string& text) {
   try {
@@ -51,53 +52,57 @@
   return error_of(config::read_operator_settings, text);
 }
 
-std::string valid_file_with(const std::string& from, const std::string& to) {
+std::string valid_file_replacing(const std::string& from, const std::string& to) {
   std::string text = valid_platform_file;
   return text.replace(text.find(from), from.size(), to);
 }
 
 }  // namespace
 
-TEST(settings, of_the_platform_are_checked_field_by_field) {
+TEST(settings, invalid_platform_fields_are_rejected_with_their_path) {
   EXPECT_EQ(platform_error(valid_platform_file), "") << "unknown fields are ignored";
   EXPECT_NE(platform_error("x = ").find("TOML"), std::string::npos);
-  EXPECT_NE(platform_error(valid_file_with("host_name", "other")).find("host_name: is missing"),
+  EXPECT_NE(
+      platform_error(valid_file_replacing("host_name", "other")).find("host_name: is missing"),
+      std::string::npos);
+  EXPECT_NE(platform_error(valid_file_replacing("10.2.0.2:8443", "cloud")).find("services.cloud"),
             std::string::npos);
-  EXPECT_NE(platform_error(valid_file_with("10.2.0.2:8443", "cloud")).find("services.cloud"),
+  EXPECT_NE(platform_error(valid_file_replacing("24.0", "-1")).find("params.workers.lease_s"),
             std::string::npos);
-  EXPECT_NE(platform_error(valid_file_with("24.0", "-1")).find("params.workers.lease_s"),
+  EXPECT_NE(platform_error(valid_file_replacing("24.0", "\"long\"")).find("must be a number"),
             std::string::npos);
-  EXPECT_NE(platform_error(valid_file_with("24.0", "\"long\"")).find("must be a number"),
+  EXPECT_NE(platform_error(valid_file_replacing("44.0", "0")).find("params.workers.cancel_s"),
             std::string::npos);
-  EXPECT_NE(platform_error(valid_file_with("44.0", "0")).find("params.workers.cancel_s"),
-            std::string::npos);
-  EXPECT_EQ(platform_error(valid_file_with("44.0", "20")), "")
-      << "below lease_s: cancellations are confirmed once the tasks are gone";
+  EXPECT_EQ(platform_error(valid_file_replacing("44.0", "20")), "")
+      << "a value below lease_s is valid: cancellations are confirmed once the tasks are gone";
 }
 
-TEST(settings, announced_limits_of_the_state_service_are_read_and_checked) {
-  const std::string next =
+TEST(settings, announced_state_service_limits_are_read_and_invalid_ones_rejected) {
+  const std::string current =
       std::string(valid_platform_file) + "[params.state]\nvalue_kb = 8.0\nrps = 90\n";
-  EXPECT_FALSE(config::read_platform_settings(write_file(next)).announced_state_limits.has_value());
-  const auto with = [&](const std::string& fields) {
-    return next + "[params.state.next]\n" + fields;
+  EXPECT_FALSE(
+      config::read_platform_settings(write_file(current)).announced_state_limits.has_value());
+  const auto file_announcing = [&](const std::string& fields) {
+    return current + "[params.state.next]\n" + fields;
   };
-  const auto read = config::read_platform_settings(write_file(with("value_kb = 2.0\n")));
+  const auto read = config::read_platform_settings(write_file(file_announcing("value_kb = 2.0\n")));
   ASSERT_TRUE(read.announced_state_limits.has_value());
   EXPECT_EQ(read.announced_state_limits->value_kb, 2.0);
-  EXPECT_EQ(read.announced_state_limits->requests_per_s, 90) << "what is not named stays";
+  EXPECT_EQ(read.announced_state_limits->requests_per_s, 90)
+      << "a field that is not announced keeps its current value";
   EXPECT_EQ(kvstore::writable_sizes(read.state_limits, read.announced_state_limits).value_kb, 2.0);
   for (const auto* invalid : {"value_kb = 0.0\n", "value_kb = -2\n", "value_kb = \"small\"\n"})
-    EXPECT_NE(platform_error(with(invalid)).find("params.state.next.value_kb"), std::string::npos)
+    EXPECT_NE(platform_error(file_announcing(invalid)).find("params.state.next.value_kb"),
+              std::string::npos)
         << invalid;
-  EXPECT_NE(platform_error(with("txn_ops = 0\n")).find("params.state.next.txn_ops"),
+  EXPECT_NE(platform_error(file_announcing("txn_ops = 0\n")).find("params.state.next.txn_ops"),
             std::string::npos);
-  EXPECT_NE(platform_error(with("write_rps = []\n")).find("params.state.next.write_rps"),
+  EXPECT_NE(platform_error(file_announcing("write_rps = []\n")).find("params.state.next.write_rps"),
             std::string::npos);
-  EXPECT_NE(platform_error(next + "next = 3\n").find("params.state.next"), std::string::npos);
+  EXPECT_NE(platform_error(current + "next = 3\n").find("params.state.next"), std::string::npos);
 }
 
-TEST(settings, the_commented_sample_holds_the_defaults) {
+TEST(settings, sample_operator_file_contains_the_defaults) {
   const auto sample = config::read_operator_settings(std::string(GINGERDRIFT_SOURCE_DIR) +
                                                      "/config/gingerdrift.xml");
   const config::operator_settings defaults;
@@ -123,25 +128,26 @@
   EXPECT_EQ(sample.terminal_state_cache_size, defaults.terminal_state_cache_size);
 }
 
-TEST(settings, of_the_operators_are_checked_element_by_element) {
-  const auto with = [](const std::string& inner) {
+TEST(settings, invalid_operator_elements_are_rejected_with_a_reason) {
+  const auto error_for = [](const std::string& inner) {
     return operator_error("<gingerdrift>" + inner + "</gingerdrift>");
   };
-  EXPECT_EQ(with("<fleet><idle_return_s> 30 </idle_return_s></fleet>"), "");
-  EXPECT_NE(with("<fleet><idle_retrun_s>30</idle_retrun_s></fleet>").find("unknown element"),
-            std::string::npos);
-  EXPECT_NE(with("<flet/>").find("unknown element"), std::string::npos);
-  EXPECT_NE(with("<fleet><idle_return_s>soon</idle_return_s></fleet>").find("fleet/idle_return_s"),
+  EXPECT_EQ(error_for("<fleet><idle_return_s> 30 </idle_return_s></fleet>"), "");
+  EXPECT_NE(error_for("<fleet><idle_retrun_s>30</idle_retrun_s></fleet>").find("unknown element"),
             std::string::npos);
-  EXPECT_NE(with("<admission><pool_order>spot</pool_order></admission>").find("each once"),
+  EXPECT_NE(error_for("<flet/>").find("unknown element"), std::string::npos);
+  EXPECT_NE(
+      error_for("<fleet><idle_return_s>soon</idle_return_s></fleet>").find("fleet/idle_return_s"),
+      std::string::npos);
+  EXPECT_NE(error_for("<admission><pool_order>spot</pool_order></admission>").find("each once"),
             std::string::npos);
-  EXPECT_NE(with("<leadership><lease_s>0</lease_s></leadership>").find("between"),
+  EXPECT_NE(error_for("<leadership><lease_s>0</lease_s></leadership>").find("between"),
             std::string::npos);
   EXPECT_NE(operator_error("<gingerdrift>").find("XML"), std::string::npos);
 }
 
-// Whatever the limit, all parts together stay below it, and none is without sockets.
-TEST(settings, connection_budget_stays_within_its_limit) {
+// For every limit, the sum of all parts stays below the limit, and every part has sockets.
+TEST(settings, connection_budget_stays_below_its_limit_and_leaves_no_part_empty) {
   for (const std::size_t limit : {32U, 100U, 1000U, 1500U, 2500U, 3735U, 11000U, 1000000U}) {
     const auto budget = config::connection_budget::of(limit);
     EXPECT_LT(budget.total(), limit) << limit;
