--- a/src/config/platform_settings.hpp
+++ b/src/config/platform_settings.hpp
@@ -49,9 +49,9 @@
   duration worker_lease = seconds(24);
   duration gang_start_timeout = seconds(50);
   duration gang_peer_loss_timeout = seconds(4);
-  /// Time from the confirmation of a cancellation until it has to be carried out. If it is shorter
-  /// than the workers' lease, a cancellation is confirmed to its user only once the job's tasks are
-  /// gone.
+  /// Maximum time from the confirmation of a cancellation until it has been carried out. If it is
+  /// shorter than the workers' lease, a cancellation is confirmed to its user only once the job's
+  /// tasks are gone.
   duration cancellation_deadline = seconds(44);
   kvstore::service_limits state_limits;
   /// Limits that the state service will change to. The change comes into force without notice.
