--- a/src/api/acceptance_check.cpp
+++ b/src/api/acceptance_check.cpp
@@ -62,9 +62,10 @@
 void acceptance_check::handle_batch_result(const std::shared_ptr<pending_check>& check,
                                            std::size_t batch_size,
                                            const kvstore::result& store_result) {
-  if (store_result.over_rate()) return check->done(verdict::undecided);
+  if (store_result.rate_limited()) return check->done(verdict::undecided);
   if (!store_result.ok() && !store_result.conflict()) return check->done(verdict::unreachable);
-  const std::set<std::string> present_keys(store_result.failed.begin(), store_result.failed.end());
+  const std::set<std::string> present_keys(store_result.conflicting_keys.begin(),
+                                           store_result.conflicting_keys.end());
   for (std::size_t i = 0; i < batch_size; ++i) {
     const job_id& job = check->unchecked[i];
     const bool was_accepted = present_keys.count(job_store::head_key(job)) != 0 ||
--- a/src/api/submission_writer.cpp
+++ b/src/api/submission_writer.cpp
@@ -13,7 +13,7 @@
   using outcome = submission_writer::outcome;
   if (head_result.ok()) return outcome::stored;
   if (head_result.conflict()) return outcome::already_accepted;
-  if (head_result.over_rate()) return outcome::over_budget;
+  if (head_result.rate_limited()) return outcome::over_budget;
   return outcome::unreachable;
 }
 }  // namespace
--- a/src/daemon/controller.cpp
+++ b/src/daemon/controller.cpp
@@ -48,7 +48,7 @@
       machine_types_(runtime, store_, platform_settings_.cloud),
       heartbeat_router_(runtime, platform_settings_, elector_, delegate_, metrics_,
                         router_callbacks()),
-      watchdog_(runtime, platform_settings_.report, peers_, elector_,
+      watchdog_(runtime, platform_settings_.worker_heartbeat_interval, peers_, elector_,
                 [this] { return is_leader() ? term_.get() : nullptr; }),
       status_logger_(runtime, status_callbacks()) {}
 
@@ -67,8 +67,8 @@
 api::options controller::api_options() const {
   const auto sizes = kvstore::writable_sizes(platform_settings_.state_limits,
                                              platform_settings_.announced_state_limits);
-  return {.submissions = {operator_settings_.waiting_submissions, sizes},
-          .terminal_cache_capacity = operator_settings_.final_cache,
+  return {.submissions = {operator_settings_.max_waiting_submissions, sizes},
+          .terminal_cache_capacity = operator_settings_.terminal_state_cache_size,
           .cancellation = leader::acknowledgement_of_cancellations(platform_settings_),
           .node = platform_settings_.node};
 }
@@ -209,8 +209,8 @@
 }
 
 bool controller::store_reachable() const {
-  if (store_.last_failure() <= store_.last_answer()) return true;
-  return runtime_.now() - store_.last_answer() < store_timeout;
+  if (store_.last_unavailable_time() <= store_.last_response_time()) return true;
+  return runtime_.now() - store_.last_response_time() < store_timeout;
 }
 
 void controller::handle_public_request(const net::request& message, const net::reply_fn& reply) {
--- a/src/daemon/heartbeat_router.cpp
+++ b/src/daemon/heartbeat_router.cpp
@@ -28,7 +28,7 @@
       delegate_(delegate),
       metrics_(metrics),
       callbacks_(std::move(owner_callbacks)),
-      recent_redirects_(platform_settings.report) {}
+      recent_redirects_(platform_settings.worker_heartbeat_interval) {}
 
 void heartbeat_router::handle(const net::request& message, const net::reply_fn& reply) {
   if (message.method != "POST") {
--- a/src/leader/leader_term.cpp
+++ b/src/leader/leader_term.cpp
@@ -17,7 +17,7 @@
   constexpr std::size_t probe_connection_divisor = 4;
   constexpr std::size_t min_probes_per_second = 20;
   const auto calls = config::connection_budget::of(platform.max_connections).calls;
-  return {.heartbeat_interval = platform.report,
+  return {.heartbeat_interval = platform.worker_heartbeat_interval,
           .worker_lease = platform.worker_lease,
           .renewal_grace = renewal_grace(platform),
           .quarantine_after_failed_jobs = operator_settings.quarantine_after_failed_jobs,
@@ -34,7 +34,7 @@
           .rps = platform.cloud_rps,
           .list_lag = platform.list_lag,
           .refusal_backoff = operator_settings.refusal_backoff,
-          .boot_patience = operator_settings.boot_patience,
+          .boot_patience = operator_settings.boot_timeout_factor,
           .silence = platform.worker_lease + first_heartbeat_margin,
           .machines_max = operator_settings.machines_max};
 }
--- a/src/leader/scale_in.cpp
+++ b/src/leader/scale_in.cpp
@@ -79,7 +79,8 @@
   // If the heartbeats of a spot machine stop, the cloud has most likely taken it back without
   // notice.
   const duration timeout =
-      worker.pool.spot ? std::max(regular_timeout / 2, platform_.report * 3) : regular_timeout;
+      worker.pool.spot ? std::max(regular_timeout / 2, platform_.worker_heartbeat_interval * 3)
+                       : regular_timeout;
   if (heartbeat_age <= timeout + zones_.partition_grace(zone)) return false;
   return heartbeat_age > regular_timeout + zone_health::partition_grace_period ||
          !zones_.is_mostly_overdue(zone);
@@ -126,8 +127,8 @@
   for (const auto& [idle_since, name] : idle) {
     const duration idle_time = now - idle_since;
     const bool early = remaining_idle > reserve &&
-                       idle_time >= operator_settings_.idle_return * early_return_factor;
-    if (!early && idle_time < operator_settings_.idle_return) break;
+                       idle_time >= operator_settings_.idle_machine_timeout * early_return_factor;
+    if (!early && idle_time < operator_settings_.idle_machine_timeout) break;
     if (!has_reached_min_rental_time(name)) continue;
     machines_.release(name, cloud::release_reason::idle);
     --remaining_idle;
--- a/src/leader/scheduling_loop.cpp
+++ b/src/leader/scheduling_loop.cpp
@@ -37,7 +37,7 @@
       machines_(context.machines),
       metrics_(context.controller_metrics),
       token_(context.token),
-      min_cycle_interval_(context.operator_settings.pass_interval),
+      min_cycle_interval_(context.operator_settings.min_scheduling_interval),
       callbacks_(std::move(owner_callbacks)),
       timer_(runtime_) {}
 
--- a/src/leader/zone_health.cpp
+++ b/src/leader/zone_health.cpp
@@ -56,7 +56,7 @@
     auto& zone = zones[machine.pool.zone];
     ++zone.total;
     if (heartbeat_age > heartbeat_timeout() / 2) ++zone.unresponsive;
-    if (heartbeat_age > platform_.report * overdue_intervals) ++zone.overdue;
+    if (heartbeat_age > platform_.worker_heartbeat_interval * overdue_intervals) ++zone.overdue;
     if (worker != nullptr && worker->unreachable_since) ++zone.unreachable;
   }
   return zones;
@@ -92,8 +92,9 @@
 }
 
 duration zone_health::heartbeat_timeout() const {
-  return operator_settings_.silent_release > duration::zero() ? operator_settings_.silent_release
-                                                              : platform_.worker_lease;
+  return operator_settings_.missed_heartbeat_timeout > duration::zero()
+             ? operator_settings_.missed_heartbeat_timeout
+             : platform_.worker_lease;
 }
 
 }  // namespace gingerdrift::leader
