--- a/src/cloud/cloud_client.hpp
+++ b/src/cloud/cloud_client.hpp
@@ -9,39 +9,40 @@
 
 namespace gingerdrift::cloud {
 
-/// Calls the cloud's interface, within its rate limit and with a pause after failures.
+/// Calls the cloud's HTTP API. Enforces a rate limit and pauses all calls after a failure.
 ///
-/// Replies that come after the client is destroyed are dropped.
+/// Responses that arrive after the client has been destroyed are dropped.
 class cloud_client {
  public:
-  using reply_handler = std::function<void(const net::response&)>;
+  using response_handler = std::function<void(const net::response&)>;
 
-  /// `rate_limit`: calls a second that the cloud allows. `permitted`: whether this controller may
-  /// call it at all; a leader without a valid lease may not.
+  /// `rate_limit` is the number of calls per second that the cloud allows. `is_permitted` reports
+  /// whether this controller may call the cloud at all; a leader without a valid lease may not.
   cloud_client(net::runtime& runtime, std::string address, double rate_limit,
-               std::function<bool()> permitted);
+               std::function<bool()> is_permitted);
 
-  /// Takes one call from the budget. To be asked before each call; false: not now.
+  /// Takes one call from the rate budget and returns true, or returns false if no call may be sent
+  /// now. Must be invoked before each call().
   bool try_acquire();
-  /// Sends a request. The reply's status is 0 if none came within the deadline.
-  void call(net::request message, reply_handler done);
-  /// The cloud refused a call or did not answer: nothing is sent for a moment.
+  /// Sends a request. `on_response` receives status 0 if no response arrives within the deadline.
+  void call(net::request request, response_handler on_response);
+  /// Suspends calls for `failure_pause`, after the cloud has rejected a call or has not answered.
   void pause_after_failure();
-  /// Calls a second that the budget allows.
+  /// Calls per second that the rate budget allows.
   double call_rate() const { return budget_.rate(); }
-  /// The runtime's clock.
+  /// Current time of the runtime's monotonic clock.
   time_point now() const { return runtime_.now(); }
 
  private:
   net::runtime& runtime_;
   std::string address_;
-  std::function<bool()> permitted_;
+  std::function<bool()> is_permitted_;
   rate_budget budget_;
   time_point paused_until_{};
   callback_guard guard_;
 };
 
-/// How long calls rest after a failure.
+/// How long no calls are sent after a failure.
 constexpr auto failure_pause = seconds(2);
 
 }  // namespace gingerdrift::cloud
--- a/src/cloud/codec.cpp
+++ b/src/cloud/codec.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// Names in the cloud's messages, by message.
+/// Field names of the cloud's messages, in one namespace per kind of message.
 namespace type_fields {
 constexpr const char* list = "flavors";
 constexpr const char* name = "label";
@@ -40,7 +40,7 @@
 }  // namespace machine_fields
 
 namespace rental_fields {
-constexpr const char* name = "ask";
+constexpr const char* idempotency_key = "ask";
 constexpr const char* type = "flavor";
 constexpr const char* zone = "yard";
 constexpr const char* spot = "loaners";
@@ -50,44 +50,44 @@
 constexpr const char* no_capacity = "no capacity";
 }  // namespace rental_fields
 
-/// Bound on prices, sizes and times: no real one comes near.
+/// Upper limit for prices, sizes and times; real values are far below it.
 constexpr double max_amount = 1e9;
 
-/// The text is not what the cloud's interface promises.
+/// Thrown if a message does not conform to the cloud's API.
 class malformed_message : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-double read_amount(const json& record, const char* field) {
+double decode_amount(const json& record, const char* field) {
   const double value = record.at(field).get<double>();
   if (!std::isfinite(value) || value < 0 || value > max_amount) throw malformed_message(field);
   return value;
 }
 
-machine_status read_status(const std::string& text) {
+machine_status decode_status(const std::string& text) {
   if (text == "starting") return machine_status::starting;
   if (text == "running") return machine_status::running;
   if (text == "failed") return machine_status::failed;
   throw malformed_message(machine_fields::status);
 }
 
-admission::machine_type read_type(const json& record) {
+admission::machine_type decode_machine_type(const json& record) {
   namespace fields = type_fields;
   admission::machine_type type;
   type.name = record.at(fields::name).get<std::string>();
-  type.size = {read_amount(record, fields::cpus), read_amount(record, fields::gpus),
-               read_amount(record, fields::memory_gb)};
-  type.cache_gb = read_amount(record, fields::cache_gb);
-  type.fetch_gb_per_s = read_amount(record, fields::fetch_gb_per_s);
-  type.price = read_amount(record, fields::price);
-  type.spot_price = read_amount(record, fields::spot_price);
-  type.boot = from_seconds(read_amount(record, fields::boot_s));
+  type.size = {decode_amount(record, fields::cpus), decode_amount(record, fields::gpus),
+               decode_amount(record, fields::memory_gb)};
+  type.cache_gb = decode_amount(record, fields::cache_gb);
+  type.fetch_gb_per_s = decode_amount(record, fields::fetch_gb_per_s);
+  type.price = decode_amount(record, fields::price);
+  type.spot_price = decode_amount(record, fields::spot_price);
+  type.boot = from_seconds(decode_amount(record, fields::boot_s));
   type.zones = ids_of<zone_name>(record.at(fields::zones).get<std::vector<std::string>>());
   return type;
 }
 
-listed_machine read_machine(const json& record) {
+listed_machine decode_listed_machine(const json& record) {
   namespace fields = machine_fields;
   listed_machine machine;
   machine.name = machine_name(record.at(fields::name).get<std::string>());
@@ -95,18 +95,19 @@
   machine.pool = {record.at(fields::type).get<std::string>(),
                   zone_name(record.at(fields::zone).get<std::string>()),
                   record.at(fields::spot).get<bool>()};
-  machine.status = read_status(record.at(fields::status).get<std::string>());
-  machine.age = from_seconds(read_amount(record, fields::age_s));
+  machine.status = decode_status(record.at(fields::status).get<std::string>());
+  machine.age = from_seconds(decode_amount(record, fields::age_s));
   return machine;
 }
 
 }  // namespace
 
-std::optional<std::vector<admission::machine_type>> read_types(const std::string& text) {
+std::optional<std::vector<admission::machine_type>> decode_machine_types(const std::string& text) {
   try {
     std::vector<admission::machine_type> types;
     const json message = json::parse(text);
-    for (const auto& record : message.at(type_fields::list)) types.push_back(read_type(record));
+    for (const auto& record : message.at(type_fields::list))
+      types.push_back(decode_machine_type(record));
     return types;
   } catch (const std::exception& error) {
     spdlog::error("cloud_response_malformed response=machine_types error=\"{}\"", error.what());
@@ -114,7 +115,7 @@
   }
 }
 
-std::string write_types(const std::vector<admission::machine_type>& types) {
+std::string encode_machine_types(const std::vector<admission::machine_type>& types) {
   namespace fields = type_fields;
   json records = json::array();
   for (const auto& type : types) {
@@ -134,20 +135,20 @@
   return message.dump();
 }
 
-std::optional<machine_page> read_machines(const std::string& text) {
+std::optional<machine_page> decode_machine_page(const std::string& text) {
   try {
     const json message = json::parse(text);
     machine_page page;
     for (const auto& record : message.at(machine_fields::list))
-      page.machines.push_back(read_machine(record));
-    page.more = message.at(machine_fields::more).get<bool>();
+      page.machines.push_back(decode_listed_machine(record));
+    page.has_more = message.at(machine_fields::more).get<bool>();
     return page;
   } catch (const std::exception&) {
     return std::nullopt;
   }
 }
 
-std::optional<std::vector<machine_name>> read_rented(const std::string& text) {
+std::optional<std::vector<machine_name>> decode_rental_response(const std::string& text) {
   try {
     const json message = json::parse(text);
     return ids_of<machine_name>(
@@ -157,15 +158,16 @@
   }
 }
 
-bool says_no_capacity(const std::string& text) {
+bool is_no_capacity_error(const std::string& text) {
   const json message = json::parse(text, nullptr, false);
   return message.is_object() && message.contains(rental_fields::error) &&
          message[rental_fields::error] == rental_fields::no_capacity;
 }
 
-std::string write_rent(const std::string& name, const admission::pool& pool, std::uint32_t count) {
+std::string encode_rental_request(const std::string& idempotency_key, const admission::pool& pool,
+                                  std::uint32_t count) {
   namespace fields = rental_fields;
-  return json({{fields::name, name},
+  return json({{fields::idempotency_key, idempotency_key},
                {fields::type, pool.type},
                {fields::zone, pool.zone.str()},
                {fields::spot, pool.spot},
@@ -173,7 +175,7 @@
       .dump();
 }
 
-std::string write_release(const std::vector<machine_name>& names) {
+std::string encode_release_request(const std::vector<machine_name>& names) {
   return json({{rental_fields::machines, texts_of(names)}}).dump();
 }
 
--- a/src/cloud/machine_inventory.hpp
+++ b/src/cloud/machine_inventory.hpp
@@ -6,7 +6,7 @@
 #include <vector>
 
 #include "cloud/cloud_client.hpp"
-#include "cloud/departure.hpp"
+#include "cloud/machine_lifecycle.hpp"
 #include "cloud/machine_list_reconciler.hpp"
 #include "cloud/machine_table.hpp"
 #include "cloud/machine_type_catalog.hpp"
@@ -18,50 +18,58 @@
 
 namespace gingerdrift::cloud {
 
-/// The leader's view of the cloud: rents, lists and returns machines, within the cloud's request
-/// budget. It plays the parts together; each does its own work. To be used on one thread.
+/// Manages the leader's rented machines: rents, lists and returns them within the rate limit of the
+/// cloud's API.
+///
+/// Coordinates the components that do the work (scale-out, release queue, list reconciler and type
+/// catalogue), which share one cloud client. Must be used on a single thread.
 class machine_inventory {
  public:
   using hooks = inventory_hooks;
 
-  /// `token`: of this term of leadership; names of requests carry it, so that they never recur.
-  machine_inventory(net::runtime& runtime, options options, fencing_token token, hooks owner);
+  /// `token` is the fencing token of this leadership term. The idempotency keys of rental requests
+  /// contain it, so that no key is ever used again.
+  machine_inventory(net::runtime& runtime, options options, fencing_token token, hooks callbacks);
   ~machine_inventory() = default;
   machine_inventory(const machine_inventory&) = delete;
   machine_inventory& operator=(const machine_inventory&) = delete;
 
-  /// Begins with the periodic calls; to be called once.
+  /// Starts the periodic calls to the cloud. Must be invoked exactly once.
   void start();
-  /// A worker sent a heartbeat: its machine is up, whatever the list says. One from a machine that
-  /// is proven gone is ignored.
+  /// Records a heartbeat from a machine's worker. It proves that the machine is running, unless
+  /// the cloud's list has shown it as failed. Heartbeats of removed machines are ignored.
   void heartbeat_received(const machine_name& name, const admission::pool& pool);
-  /// Scales out: machines that are missing, beyond those starting.
+  /// Scales out. `missing` is the number of machines to rent in each pool, in addition to those
+  /// that are starting.
   void request_machines(const std::map<admission::pool, std::uint32_t>& missing) {
     scale_out_.request(missing);
   }
-  /// Scales in: the machine goes back to the cloud.
+  /// Scales in: queues the machine for its return to the cloud.
   void release(const machine_name& name, release_reason reason) { releases_.add(name, reason); }
-  /// Whether the machine is to be returned and not known to be gone yet.
-  bool releasing(const machine_name& name) const;
-  /// Proven gone in this term: what still arrives from it is old.
-  bool departed(const machine_name& name) const { return machines_.departed(name); }
-  /// Whether the machine was rented in this term.
-  bool rented_in_term(const machine_name& name) const;
-  /// Pools that rest after the cloud refused machines for lack of capacity.
-  std::set<admission::pool> refused() const { return scale_out_.refused(); }
-  /// Machines on their way: rented or asked for, not heard of yet.
-  std::vector<machine> starting() const;
-  /// The machines that are rented, as far as is known, those to be returned included.
+  /// Reports whether the machine is queued for its return and not yet removed from the inventory.
+  bool is_releasing(const machine_name& name) const;
+  /// Reports whether the machine was removed in this leadership term because it has definitely
+  /// terminated. Any message that still arrives from it is outdated.
+  bool was_removed(const machine_name& name) const { return machines_.was_removed(name); }
+  /// Reports whether the machine was rented in this leadership term.
+  bool was_rented_in_term(const machine_name& name) const;
+  /// Pools for which the cloud recently had no capacity.
+  std::set<admission::pool> refused_pools() const { return scale_out_.refused_pools(); }
+  /// Machines that are rented or requested and have sent no heartbeat in this leadership term,
+  /// without those that have failed or are queued for their return.
+  std::vector<machine> starting_machines() const;
+  /// All known rented machines, including those queued for their return.
   const std::map<machine_name, machine>& all() const { return machines_.all(); }
-  /// Types known from elsewhere, for a start while the cloud is down.
+  /// Sets machine types obtained from another source, so that a term can start while the cloud is
+  /// unavailable.
   void set_types(std::vector<admission::machine_type> types) { catalog_.set(std::move(types)); }
-  /// The machine types on offer; empty: not known yet.
+  /// The machine types that the cloud offers; empty while they are unknown.
   const std::vector<admission::machine_type>& types() const { return catalog_.types(); }
 
  private:
   void tick();
-  void release_hopeless();
-  bool hopeless(const machine& entry) const;
+  void release_failed_starts();
+  bool has_failed_to_start(const machine& entry) const;
 
   net::runtime& runtime_;
   options options_;
@@ -70,7 +78,7 @@
   machine_table machines_;
   release_queue releases_;
   scale_out scale_out_;
-  machine_list_reconciler list_;
+  machine_list_reconciler list_reconciler_;
   machine_type_catalog catalog_;
   net::timer timer_;
 };
--- a/src/cloud/departure.cpp
+++ b/src/cloud/machine_lifecycle.cpp
@@ -1,14 +1,14 @@
-#include "cloud/departure.hpp"
+#include "cloud/machine_lifecycle.hpp"
 
 namespace gingerdrift::cloud {
 
-const char* text_of(departure evidence) {
+const char* text_of(termination_evidence evidence) {
   switch (evidence) {
-    case departure::released:
+    case termination_evidence::released:
       return "released";
-    case departure::listed_as_failed:
+    case termination_evidence::listed_as_failed:
       return "listed_as_failed";
-    case departure::no_longer_listed:
+    case termination_evidence::no_longer_listed:
       break;
   }
   return "no_longer_listed";
--- a/src/cloud/machine_list_reconciler.hpp
+++ b/src/cloud/machine_list_reconciler.hpp
@@ -12,39 +12,40 @@
 
 /// Reads the cloud's list of machines, page by page, and reconciles the machine table with it.
 ///
-/// It guards the rule that a machine is taken for gone only on proof: when the list shows it as
-/// failed, or when lists lack it for longer than the oldest list could be behind.
+/// Enforces the rule that a machine counts as terminated only on proof: if the list shows it as
+/// failed, or if it is absent from the lists for longer than a list can be out of date.
 class machine_list_reconciler {
  public:
-  /// `hooks` has to outlive the reconciler.
+  /// `list_lag` is the nominal age of the cloud's list; a list may be up to twice as old. `hooks`
+  /// must outlive the reconciler.
   machine_list_reconciler(cloud_client& client, machine_table& machines, release_queue& releases,
                           duration list_lag, const inventory_hooks& hooks);
 
-  /// Reads a page if one is due and the call budget allows it.
+  /// Requests a page if one is due and the rate budget allows it.
   void read_if_due();
 
  private:
-  /// A list that is being read.
+  /// State of the list that is being read.
   struct listing {
     std::set<machine_name> seen;
     time_point started;
-    machine_name after;  // the next page begins behind it
-    std::size_t pages = 0;
+    machine_name last_name;  // last machine received; the next page starts after it
+    std::size_t page_count = 0;
     bool in_flight = false;
   };
-  bool page_due() const;
+  bool is_page_due() const;
   void read_page();
-  void page_answered(const net::response& reply);
+  void handle_page_response(const net::response& response);
   void reconcile(const listed_machine& listed);
   void mark_failed(machine& entry);
   void complete_list();
-  bool proven_gone(const machine& entry) const;
-  duration pause_after_list(std::size_t pages) const;
+  bool is_proven_terminated(const machine& entry) const;
+  duration list_interval(std::size_t page_count) const;
 
   cloud_client& client_;
   machine_table& machines_;
   release_queue& releases_;
-  duration absence_proof_;
+  duration min_absence_;  // for a listed machine to count as terminated
   const inventory_hooks& hooks_;
   time_point next_list_{};
   std::optional<listing> listing_;
--- a/src/cloud/machine_table.cpp
+++ b/src/cloud/machine_table.cpp
@@ -3,16 +3,18 @@
 namespace gingerdrift::cloud {
 
 namespace {
-/// Copies of heartbeats may come long after their machine was returned.
-constexpr auto departed_retention = std::chrono::hours(1);
+/// How long names of removed machines are kept. Duplicates of a heartbeat may arrive long after the
+/// machine was returned.
+constexpr auto removed_retention = std::chrono::hours(1);
 }  // namespace
 
-machine_table::insertion machine_table::find_or_add(const machine_name& name, time_point rented) {
+machine_table::insertion machine_table::find_or_add(const machine_name& name,
+                                                    time_point rental_start) {
   const auto [position, is_new] = machines_.try_emplace(name);
   machine& entry = position->second;
   if (is_new) {
     entry.name = name;
-    entry.rented = rented;
+    entry.rental_start = rental_start;
   }
   return {entry, is_new};
 }
@@ -27,14 +29,14 @@
   return position == machines_.end() ? nullptr : &position->second;
 }
 
-void machine_table::depart(const machine_name& name, time_point now) {
+void machine_table::remove(const machine_name& name, time_point now) {
   machines_.erase(name);
-  departed_[name] = now;
+  removed_[name] = now;
 }
 
-void machine_table::expire_departed(time_point now) {
-  std::erase_if(departed_,
-                [now](const auto& entry) { return now - entry.second > departed_retention; });
+void machine_table::expire_removed(time_point now) {
+  std::erase_if(removed_,
+                [now](const auto& entry) { return now - entry.second > removed_retention; });
 }
 
 }  // namespace gingerdrift::cloud
--- a/src/cloud/machine_type_catalog.cpp
+++ b/src/cloud/machine_type_catalog.cpp
@@ -17,11 +17,12 @@
   const time_point now = client_.now();
   if (now < next_refresh_ || !client_.try_acquire()) return;
   next_refresh_ = now + refresh_period;
-  client_.call({"GET", "/flavors", ""}, [this](const net::response& reply) { refreshed(reply); });
+  client_.call({"GET", "/flavors", ""},
+               [this](const net::response& response) { handle_response(response); });
 }
 
-void machine_type_catalog::refreshed(const net::response& reply) {
-  auto types = reply.status == 200 ? read_types(reply.body) : std::nullopt;
+void machine_type_catalog::handle_response(const net::response& response) {
+  auto types = response.status == 200 ? decode_machine_types(response.body) : std::nullopt;
   if (!types || types->empty()) {
     next_refresh_ = client_.now() + refresh_retry_delay;
     return;
--- a/src/cloud/machine_type_catalog.hpp
+++ b/src/cloud/machine_type_catalog.hpp
@@ -9,23 +9,23 @@
 
 namespace gingerdrift::cloud {
 
-/// The machine types that the cloud offers, read anew every minute.
+/// The machine types that the cloud offers, refreshed every minute.
 class machine_type_catalog {
  public:
-  /// `changed`: types were read.
+  /// `changed` is invoked after each successful refresh.
   machine_type_catalog(cloud_client& client, std::function<void()> changed);
 
-  /// Reads the types if that is due and the call budget allows it.
+  /// Requests the types if a refresh is due and the rate budget allows it.
   void refresh_if_due();
-  /// Types known from elsewhere, until they are read.
+  /// Sets types obtained from another source, which are used until the first successful refresh.
   void set(std::vector<admission::machine_type> types) { types_ = std::move(types); }
-  /// Empty: not known yet.
+  /// The machine types; empty while they are unknown.
   const std::vector<admission::machine_type>& types() const { return types_; }
-  /// How long a machine of that type takes to boot; a default for an unknown type.
+  /// Returns how long a machine of that type takes to boot, or a default for an unknown type.
   duration boot_time(const std::string& type_name) const;
 
  private:
-  void refreshed(const net::response& reply);
+  void handle_response(const net::response& response);
 
   cloud_client& client_;
   std::function<void()> changed_;
--- a/src/cloud/options.hpp
+++ b/src/cloud/options.hpp
@@ -6,31 +6,39 @@
 
 #include "base/ids.hpp"
 #include "base/time.hpp"
-#include "cloud/departure.hpp"
+#include "cloud/machine_lifecycle.hpp"
 
 namespace gingerdrift::cloud {
 
-/// Where the cloud is, and what may be expected of it.
+/// Address and limits of the cloud, and timeouts for its machines.
 struct options {
-  std::string cloud;                       // its address
-  double rps = 2;                          // calls a second that it allows
-  duration list_lag = seconds(5);          // how old its list of machines may be
-  duration refusal_backoff = seconds(10);  // a pool that was refused rests for this
-  double boot_patience = 3;                // multiples of a type's boot time before giving up
-  duration silence = seconds(30);      // a running machine nobody hears of is returned after this
-  std::uint32_t machines_max = 10000;  // rented and asked for
+  std::string cloud_endpoint;  // address of the cloud's API
+  double rps = 2;              // calls per second that the cloud allows
+  /// Nominal age of the cloud's list of machines; a list may be up to twice as old.
+  duration list_lag = seconds(5);
+  /// How long a pool counts as refused after the cloud had no capacity for it.
+  duration refusal_backoff = seconds(10);
+  /// A machine that is still starting after its type's boot time multiplied by this is returned.
+  double boot_timeout_factor = 3;
+  /// Time after which a running machine without any heartbeat in this term is returned.
+  duration first_heartbeat_timeout = seconds(30);
+  std::uint32_t machines_max = 10000;  // limit for rented and requested machines together
 };
 
-/// What the machine inventory tells its owner and asks of it. All run on the caller's thread.
+/// Callbacks from the machine inventory to its owner. All run on the inventory's thread.
 struct inventory_hooks {
-  /// A machine is gone for sure: its attempts are lost.
-  std::function<void(const machine_name& machine, departure evidence)> gone;
-  /// Machines, types or refusals have changed: a scheduling cycle may find more room.
+  /// Invoked when a machine has definitely terminated: its task attempts are lost. A machine listed
+  /// as failed is reported a second time when it is removed.
+  std::function<void(const machine_name& machine, termination_evidence evidence)>
+      machine_terminated;
+  /// Invoked when machines, machine types or refused pools have changed, so that a scheduling cycle
+  /// may be able to place more tasks.
   std::function<void()> changed;
-  /// Whether the leader's lease is valid. Without it nothing is sent to the cloud.
+  /// Reports whether the leader's lease is valid. Without a valid lease nothing is sent to the
+  /// cloud.
   std::function<bool()> lease_valid;
-  /// How much longer than usual silent machines of a zone are kept.
-  std::function<duration(const zone_name& zone)> allowance;
+  /// Returns how much longer than usual machines in a zone are kept without heartbeats.
+  std::function<duration(const zone_name& zone)> heartbeat_timeout_extension;
 };
 
 }  // namespace gingerdrift::cloud
--- a/src/cloud/release_queue.cpp
+++ b/src/cloud/release_queue.cpp
@@ -13,7 +13,7 @@
     : client_(client), machines_(machines), hooks_(hooks) {}
 
 void release_queue::add(const machine_name& name, release_reason reason) {
-  if (machines_.departed(name)) return;
+  if (machines_.was_removed(name)) return;
   machine& entry = machines_.find_or_add(name, client_.now()).entry;
   if (entry.releasing) return;
   entry.releasing = true;
@@ -28,16 +28,17 @@
   }
   if (batch.empty() || !client_.try_acquire()) return;
   in_flight_ = true;
-  client_.call({"POST", "/rentals/release", write_release(batch)},
-               [this, batch](const net::response& reply) { answered(batch, reply); });
+  client_.call({"POST", "/rentals/release", encode_release_request(batch)},
+               [this, batch](const net::response& response) { handle_response(batch, response); });
 }
 
-void release_queue::answered(const std::vector<machine_name>& batch, const net::response& reply) {
+void release_queue::handle_response(const std::vector<machine_name>& batch,
+                                    const net::response& response) {
   in_flight_ = false;
-  if (reply.status != 200) return client_.pause_after_failure();
+  if (response.status != 200) return client_.pause_after_failure();
   for (const auto& name : batch) {
-    machines_.depart(name, client_.now());
-    hooks_.gone(name, departure::released);
+    machines_.remove(name, client_.now());
+    hooks_.machine_terminated(name, termination_evidence::released);
   }
 }
 
--- a/src/cloud/release_queue.hpp
+++ b/src/cloud/release_queue.hpp
@@ -8,22 +8,23 @@
 
 namespace gingerdrift::cloud {
 
-/// Returns machines to the cloud, in batches, one batch at a time.
+/// Returns machines to the cloud, in batches, with at most one request in flight.
 ///
-/// A machine that is to be returned stays in the table, marked, until the cloud has confirmed its
-/// return: only then is it proven gone.
+/// A queued machine stays in the machine table, marked as `releasing`, until the cloud has
+/// confirmed its return. Only the confirmation proves that the machine has terminated.
 class release_queue {
  public:
-  /// `hooks` has to outlive the queue.
+  /// `hooks` must outlive the queue.
   release_queue(cloud_client& client, machine_table& machines, const inventory_hooks& hooks);
 
-  /// Marks a machine for its return; it may be one that no list has shown yet.
+  /// Queues a machine for its return, even if no list has contained it so far. Ignores machines
+  /// that are queued or removed already.
   void add(const machine_name& name, release_reason reason);
-  /// Sends a batch unless one is under way or the budget has no call left.
+  /// Sends a batch unless one is in flight or the rate budget is exhausted.
   void send();
 
  private:
-  void answered(const std::vector<machine_name>& batch, const net::response& reply);
+  void handle_response(const std::vector<machine_name>& batch, const net::response& response);
 
   cloud_client& client_;
   machine_table& machines_;
--- a/src/cloud/scale_out.hpp
+++ b/src/cloud/scale_out.hpp
@@ -15,28 +15,31 @@
 
 /// Rents machines.
 ///
-/// Each request has an idempotency name. One that is not answered is repeated under its name, which
-/// rents nothing twice. A pool whose request is refused for lack of capacity rests for a while.
+/// Each request has an idempotency key. A request without a response is retried with the same key,
+/// so that no machine is rented twice. If the cloud lacks the capacity for a request, its pool
+/// counts as refused for a while.
 class scale_out {
  public:
-  /// `token`: part of the idempotency names, so that terms never share one. `changed`: a request
-  /// has ended, so that machines or refused pools are different now.
+  /// `token` is part of the idempotency keys, so that no two leadership terms use the same key.
+  /// `changed` is invoked when a response has completed a request, so that machines or refused
+  /// pools may have changed.
   scale_out(cloud_client& client, machine_table& machines, const options& options,
             fencing_token token, std::function<void()> changed);
 
-  /// Asks for that many machines of each pool, within the limit of machines. A pool with a request
-  /// under way gets no second one.
+  /// Requests the missing machines of each pool, within the limit on machines. A pool that already
+  /// has an unfinished request gets no second one.
   void request(const std::map<admission::pool, std::uint32_t>& missing);
-  /// Sends the requests that are due, as far as the call budget allows.
+  /// Sends the requests that are due, as far as the rate budget allows.
   void send();
-  /// Pools that rest after a refusal.
-  std::set<admission::pool> refused() const;
-  /// Machines that were asked for and have no name yet, under placeholder names.
+  /// Pools for which the cloud recently had no capacity.
+  std::set<admission::pool> refused_pools() const;
+  /// Machines of unfinished requests, with placeholder names, since the cloud has not named them
+  /// yet.
   std::vector<machine> pending_machines() const;
 
  private:
   struct rental_request {
-    std::string name;  // idempotency name
+    std::string idempotency_key;
     admission::pool pool;
     std::uint32_t count = 0;
     bool in_flight = false;
@@ -46,11 +49,11 @@
   using request_map = std::map<std::string, rental_request>;
 
   bool has_request_for(const admission::pool& pool) const;
-  std::size_t machines_with_requests() const;
+  std::size_t rented_and_requested_count() const;
   void add_request(const admission::pool& pool, std::uint32_t count);
-  void answered(const std::string& request_name, const net::response& reply);
+  void handle_response(const std::string& idempotency_key, const net::response& response);
   void add_machines(const rental_request& request, const std::vector<machine_name>& names);
-  void rest_pool(const admission::pool& pool);
+  void mark_pool_refused(const admission::pool& pool);
   void finish(request_map::iterator request);
   void retry_or_give_up(request_map::iterator request, int status);
 
--- a/tests/machine_inventory_test.cpp
+++ b/tests/machine_inventory_test.cpp
@@ -1,4 +1,4 @@
-// The cloud's list of a large fleet is read to its end within the call budget.
+// Tests that the cloud's list of a large fleet is read completely within the rate budget.
 #include <gtest/gtest.h>
 
 #include <nlohmann/json.hpp>
@@ -25,7 +25,7 @@
           {"loaners", false}, {"status", "running"}, {"ageS", 100.0}};
 }
 
-/// A cloud that lists its machines in pages, and refuses calls above its rate.
+/// A cloud that lists its machines in pages and rejects calls above its rate limit.
 class listing_cloud {
  public:
   listing_cloud(sim_net& net, std::size_t machine_count, double calls_per_s)
@@ -35,19 +35,19 @@
       reply(answer(request));
     });
   }
-  std::set<std::string> names;    // of the machines that it lists
-  std::size_t refused_calls = 0;  // because of its rate
+  std::set<std::string> names;     // of the listed machines
+  std::size_t rejected_calls = 0;  // because of the rate limit
 
  private:
   net::response answer(const net::request& request) {
     if (!budget_.take(net_.now())) {
-      ++refused_calls;
+      ++rejected_calls;
       return error(429);
     }
     if (!request.target.starts_with(list_path)) return error(503);
     return page_after(last_name_before(request.target));
   }
-  /// The name that the page begins behind; empty: the first page.
+  /// Returns the name after which the requested page starts, or an empty text for the first page.
   static std::string last_name_before(const std::string& target) {
     const auto position = target.find(page_parameter);
     return position == std::string::npos ? "" : target.substr(position + page_parameter.size());
@@ -65,7 +65,7 @@
   rate_budget budget_;
 };
 
-/// An inventory of a large fleet, with few calls a second.
+/// An inventory of a large fleet whose rate limit allows only a few calls per second.
 class machine_list_reconciliation : public ::testing::Test {
  protected:
   static constexpr std::size_t machine_count = 5000;
@@ -78,46 +78,48 @@
   }
   static cloud::options cloud_options() {
     cloud::options options;
-    options.cloud = "cloud:1";
+    options.cloud_endpoint = "cloud:1";
     options.rps = calls_per_s;
     return options;
   }
   cloud::machine_inventory::hooks hooks() {
-    return {.gone = [this](const machine_name& machine, cloud::departure) { gone.insert(machine); },
-            .changed = [] {},
-            .lease_valid = [] { return true; },
-            // Machines that run without a heartbeat are not what is tested here.
-            .allowance = [](const zone_name&) { return duration(seconds(1000)); }};
+    return {
+        .machine_terminated = [this](const machine_name& machine,
+                                     cloud::termination_evidence) { terminated.insert(machine); },
+        .changed = [] {},
+        .lease_valid = [] { return true; },
+        // Prevents the inventory from returning machines for lack of heartbeats.
+        .heartbeat_timeout_extension = [](const zone_name&) { return duration(seconds(1000)); }};
   }
 
   sim_net net{1};
   sim_runtime runtime{net, "node-0"};
   listing_cloud cloud;
-  std::set<machine_name> gone;
+  std::set<machine_name> terminated;
   cloud::machine_inventory inventory;
 };
 
 }  // namespace
 
-TEST_F(machine_list_reconciliation, reads_list_of_thousands_of_machines_to_its_end) {
+TEST_F(machine_list_reconciliation, reads_list_of_thousands_of_machines_completely) {
   net.run_for(seconds(20));
   EXPECT_EQ(inventory.all().size(), machine_count);
   cloud.names.erase("n-100003");
   cloud.names.erase("n-104990");
   net.run_for(seconds(60));
-  EXPECT_EQ(gone, std::set<machine_name>({"n-100003", "n-104990"}));
-  EXPECT_EQ(cloud.refused_calls, 0U);
+  EXPECT_EQ(terminated, std::set<machine_name>({"n-100003", "n-104990"}));
+  EXPECT_EQ(cloud.rejected_calls, 0U);
 }
 
-// A list may be older than the one before, and reading it takes long: one that lacks a machine is
-// no proof.
-TEST_F(machine_list_reconciliation, keeps_machine_that_one_list_lacks) {
+// A list may be older than the previous one and takes long to read. A machine that is absent from a
+// single list must not count as terminated.
+TEST_F(machine_list_reconciliation, keeps_machine_absent_from_one_list) {
   net.run_for(seconds(20));
   cloud.names.erase("n-100003");
   net.run_for(seconds(14));
   cloud.names.insert("n-100003");
   net.run_for(seconds(60));
-  EXPECT_TRUE(gone.empty());
+  EXPECT_TRUE(terminated.empty());
 }
 
 }  // namespace gingerdrift::testing
--- a/tests/scripted_cloud.hpp
+++ b/tests/scripted_cloud.hpp
@@ -9,7 +9,7 @@
 
 namespace gingerdrift::testing {
 
-/// A cloud that notes the calls it gets and answers them as the test says.
+/// A cloud that records all calls and answers each with the response that the test has set.
 class scripted_cloud {
  public:
   explicit scripted_cloud(sim_net& net) {
@@ -18,17 +18,17 @@
       reply(answer);
     });
   }
-  /// A client of this cloud that never runs out of calls.
+  /// Returns a client of this cloud with a rate limit that no test reaches.
   static cloud::cloud_client client(net::runtime& runtime) {
     return {runtime, address, 1000, [] { return true; }};
   }
-  /// A field of the JSON body of a call.
-  nlohmann::json sent(std::size_t call, const std::string& field) const {
+  /// Returns a field of the JSON body of the call with that index.
+  nlohmann::json sent_field(std::size_t call, const std::string& field) const {
     return nlohmann::json::parse(calls.at(call).body).at(field);
   }
 
   std::vector<net::request> calls;
-  net::response answer;  // to the calls from now on; status 0: none comes
+  net::response answer;  // to all further calls; status 0 stands for no response
 
  private:
   static constexpr const char* address = "cloud:1";
