--- a/src/daemon/machine_type_cache.cpp
+++ b/src/daemon/machine_type_cache.cpp
@@ -26,7 +26,7 @@
 void machine_type_cache::read_stored() {
   store_.get(types_key, guard_.wrap([this](const kvstore::result& stored) {
     if (!types_.empty() || !stored.ok() || stored.entries.empty()) return;
-    const auto types = cloud::read_types(stored.entries.front().value.dump());
+    const auto types = cloud::decode_machine_types(stored.entries.front().value.dump());
     if (types) types_ = *types;
   }));
 }
@@ -37,7 +37,8 @@
 }
 
 void machine_type_cache::fetched(const net::response& response) {
-  const auto types = response.status == status_ok ? cloud::read_types(response.body) : std::nullopt;
+  const auto types =
+      response.status == status_ok ? cloud::decode_machine_types(response.body) : std::nullopt;
   if (types && !types->empty()) {
     const bool first = types_.empty();
     types_ = *types;
@@ -50,7 +51,7 @@
 }
 
 void machine_type_cache::store_types() {
-  const auto record = kvstore::json::parse(cloud::write_types(types_));
+  const auto record = kvstore::json::parse(cloud::encode_machine_types(types_));
   store_.txn({}, {{types_key, record, 0, false}}, [](const kvstore::result&) {});
 }
 
--- a/src/leader/decision_applier.cpp
+++ b/src/leader/decision_applier.cpp
@@ -49,7 +49,7 @@
   if (worker == nullptr) return false;
   if (!job.active() || job.leaving()) return false;
   if (job.done().contains(start.task) || job.attempts().count(start.task) != 0) return false;
-  return workers_.accepts_tasks(*worker) && !machines_.releasing(worker->name) &&
+  return workers_.accepts_tasks(*worker) && !machines_.is_releasing(worker->name) &&
          worker->unknown_tasks.count({job.spec().id, start.task}) == 0;
 }
 
--- a/src/leader/heartbeat_intake.cpp
+++ b/src/leader/heartbeat_intake.cpp
@@ -42,8 +42,8 @@
 
 void heartbeat_intake::receive(workers::worker_heartbeat heartbeat, answer_fn answer) {
   last_heartbeat_ = runtime_.now();
-  if (machines_.departed(heartbeat.machine)) return answer(workers::encode_commands(token_, {}));
-  if (!machines_.releasing(heartbeat.machine))
+  if (machines_.was_removed(heartbeat.machine)) return answer(workers::encode_commands(token_, {}));
+  if (!machines_.is_releasing(heartbeat.machine))
     machines_.heartbeat_received(heartbeat.machine, heartbeat.pool);
   // An answer renews the lease of everything the worker has. Who has not read the records yet
   // knows of no cancellation: an answer would let cancelled tasks go on, by chains of successors
--- a/src/leader/leader_term.cpp
+++ b/src/leader/leader_term.cpp
@@ -28,22 +28,22 @@
                                  const config::operator_settings& rules) {
   /// Beyond a worker's lease: a machine that only just came up has it to send its first heartbeat.
   constexpr auto silence_slack = seconds(10);
-  return {.cloud = platform.cloud,
+  return {.cloud_endpoint = platform.cloud,
           .rps = platform.cloud_rps,
           .list_lag = platform.list_lag,
           .refusal_backoff = rules.refusal_backoff,
-          .boot_patience = rules.boot_patience,
-          .silence = platform.worker_lease + silence_slack,
+          .boot_timeout_factor = rules.boot_patience,
+          .first_heartbeat_timeout = platform.worker_lease + silence_slack,
           .machines_max = rules.machines_max};
 }
 
-workers::loss_evidence evidence_of(cloud::departure departure) {
-  switch (departure) {
-    case cloud::departure::released:
+workers::loss_evidence evidence_of(cloud::termination_evidence evidence) {
+  switch (evidence) {
+    case cloud::termination_evidence::released:
       return workers::loss_evidence::machine_released;
-    case cloud::departure::listed_as_failed:
+    case cloud::termination_evidence::listed_as_failed:
       return workers::loss_evidence::machine_failed;
-    case cloud::departure::no_longer_listed:
+    case cloud::termination_evidence::no_longer_listed:
       break;
   }
   return workers::loss_evidence::machine_delisted;
@@ -109,17 +109,18 @@
           .changed = [this] { loop_.request_cycle(); },
           .cache_gb = [this](const std::string& type) { return image_cache_gb(type); },
           .rented_in_term =
-              [this](const machine_name& name) { return machines_.rented_in_term(name); }};
+              [this](const machine_name& name) { return machines_.was_rented_in_term(name); }};
 }
 
 cloud::machine_inventory::hooks leader_term::inventory_callbacks() {
-  return {.gone =
-              [this](const machine_name& machine, cloud::departure departure) {
-                workers_.machine_lost(machine, evidence_of(departure));
+  return {.machine_terminated =
+              [this](const machine_name& machine, cloud::termination_evidence evidence) {
+                workers_.machine_lost(machine, evidence_of(evidence));
               },
           .changed = [this] { loop_.request_cycle(); },
           .lease_valid = [this] { return callbacks_.lease_valid(); },
-          .allowance = [this](const zone_name& zone) { return zones_.allowance(zone); }};
+          .heartbeat_timeout_extension =
+              [this](const zone_name& zone) { return zones_.allowance(zone); }};
 }
 
 job_loader::callbacks leader_term::loader_callbacks() {
--- a/src/leader/scale_in.cpp
+++ b/src/leader/scale_in.cpp
@@ -33,7 +33,7 @@
 void scale_in::release_machines() {
   std::map<admission::pool, std::vector<idle_machine>> idle_by_pool;
   for (const auto& [name, worker] : workers_.all()) {
-    if (machines_.releasing(name)) continue;
+    if (machines_.is_releasing(name)) continue;
     if (const auto reason = release_reason_of(worker)) {
       machines_.release(name, *reason);
     } else if (is_idle(worker)) {
@@ -121,7 +121,7 @@
 bool scale_in::paid_long_enough(const machine_name& name) const {
   const auto machine = machines_.all().find(name);
   return machine == machines_.all().end() ||
-         runtime_.now() - machine->second.rented >= minimum_paid_time;
+         runtime_.now() - machine->second.rental_start >= minimum_paid_time;
 }
 
 }  // namespace gingerdrift::leader
--- a/src/leader/snapshot_builder.cpp
+++ b/src/leader/snapshot_builder.cpp
@@ -54,7 +54,7 @@
 
 void snapshot_builder::add_starting_machines(const types_by_name& types,
                                              admission::snapshot& snapshot) {
-  for (const auto& machine : machines_.starting()) {
+  for (const auto& machine : machines_.starting_machines()) {
     const auto type = types.find(machine.pool.type);
     // Nobody should wait for a machine that can't report, nor have more of them rented.
     if (type == types.end() || zones_.cut_off(machine.pool.zone)) continue;
@@ -71,7 +71,7 @@
 
 /// Pools that the cloud refused lately, and those of zones that are cut off.
 void snapshot_builder::add_refused_pools(admission::snapshot& snapshot) const {
-  snapshot.refused = machines_.refused();
+  snapshot.refused = machines_.refused_pools();
   for (const auto& type : snapshot.types) {
     for (const auto& zone : type.zones) {
       if (!zones_.cut_off(zone)) continue;
@@ -180,7 +180,7 @@
 
 std::shared_ptr<const admission::machine_view> snapshot_builder::view_of(
     workers::worker& worker, const admission::machine_type& type) const {
-  const bool ready = workers_.accepts_tasks(worker) && !machines_.releasing(worker.name);
+  const bool ready = workers_.accepts_tasks(worker) && !machines_.is_releasing(worker.name);
   if (worker.view && worker.view->ready == ready) return worker.view;
   auto view = std::make_shared<admission::machine_view>();
   view->name = worker.name;
--- a/src/leader/zone_health.cpp
+++ b/src/leader/zone_health.cpp
@@ -42,7 +42,7 @@
   std::map<zone_name, machine_count> zones;
   for (const auto& [name, machine] : machines_.all()) {
     const auto* worker = workers_.find(name);
-    const bool up = machine.reports || machine.status == cloud::machine_status::running;
+    const bool up = machine.reported_in_term || machine.status == cloud::machine_status::running;
     if (!up || machine.releasing) continue;
     const time_point last_heartbeat =
         worker != nullptr && worker->heard_in_term ? worker->last_heartbeat : time_point{};
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -190,13 +190,13 @@
 }
 
 TEST(wire, cloud_answers_that_are_malformed_are_dropped) {
-  EXPECT_FALSE(cloud::read_types(R"({"flavors":[{"label":"g8"}]})").has_value());
-  EXPECT_FALSE(cloud::read_machines(R"({"hosts":[]})").has_value());
-  EXPECT_FALSE(cloud::read_rented(R"({"hosts":3})").has_value());
-  EXPECT_TRUE(cloud::says_no_capacity(R"({"error":"no capacity"})"));
-  EXPECT_FALSE(cloud::says_no_capacity(R"({"error":"trouble"})"));
-  EXPECT_FALSE(cloud::says_no_capacity(R"({"error":7})"));
-  EXPECT_FALSE(cloud::says_no_capacity("no JSON"));
+  EXPECT_FALSE(cloud::decode_machine_types(R"({"flavors":[{"label":"g8"}]})").has_value());
+  EXPECT_FALSE(cloud::decode_machine_page(R"({"hosts":[]})").has_value());
+  EXPECT_FALSE(cloud::decode_rental_response(R"({"hosts":3})").has_value());
+  EXPECT_TRUE(cloud::is_no_capacity_error(R"({"error":"no capacity"})"));
+  EXPECT_FALSE(cloud::is_no_capacity_error(R"({"error":"trouble"})"));
+  EXPECT_FALSE(cloud::is_no_capacity_error(R"({"error":7})"));
+  EXPECT_FALSE(cloud::is_no_capacity_error("no JSON"));
 }
 
 TEST(wire, final_records_that_are_malformed_are_no_state) {
--- a/tests/leader_parts.hpp
+++ b/tests/leader_parts.hpp
@@ -137,12 +137,12 @@
        .rented_in_term = [](const machine_name&) { return false; }}};
   cloud::machine_inventory machines{
       runtime,
-      {.cloud = "cloud:1"},
+      {.cloud_endpoint = "cloud:1"},
       token,
-      {.gone = [](const machine_name&, cloud::departure) {},
+      {.machine_terminated = [](const machine_name&, cloud::termination_evidence) {},
        .changed = [] {},
        .lease_valid = [this] { return lease_valid; },
-       .allowance = [](const zone_name&) { return duration::zero(); }}};
+       .heartbeat_timeout_extension = [](const zone_name&) { return duration::zero(); }}};
   const leader::term_context context{.runtime = runtime,
                                      .platform = platform,
                                      .rules = rules,
--- a/tests/machine_type_cache_test.cpp
+++ b/tests/machine_type_cache_test.cpp
@@ -20,7 +20,7 @@
   static net::response offer(const std::string& type_name) {
     admission::machine_type type;
     type.name = type_name;
-    return {200, cloud::write_types({type}), std::nullopt, false};
+    return {200, cloud::encode_machine_types({type}), std::nullopt, false};
   }
   static net::response failure() { return {503, "", std::nullopt, false}; }
   /// The names of the types that the cache knows.
@@ -85,7 +85,7 @@
 TEST_F(machine_type_cache_test, keeps_the_types_when_a_later_reading_offers_none) {
   cloud_answer = offer("g8");
   start();
-  cloud_answer.body = cloud::write_types({});
+  cloud_answer.body = cloud::encode_machine_types({});
   net.run_for(seconds(180));
   EXPECT_GE(calls, 2);
   EXPECT_EQ(known(), names{"g8"});
--- a/tests/scale_in_test.cpp
+++ b/tests/scale_in_test.cpp
@@ -10,7 +10,7 @@
  protected:
   bool released(const machine_name& machine) {
     scale_in.release_machines();
-    return machines.releasing(machine);
+    return machines.is_releasing(machine);
   }
   leader::scale_in scale_in{context, zones, decisions};
 };
