--- a/src/leader/heartbeat_intake.cpp
+++ b/src/leader/heartbeat_intake.cpp
@@ -42,8 +42,8 @@
 
 void heartbeat_intake::receive(workers::worker_heartbeat heartbeat, answer_fn answer) {
   last_heartbeat_ = runtime_.now();
-  if (machines_.departed(heartbeat.machine)) return answer(workers::encode_commands(token_, {}));
-  if (!machines_.releasing(heartbeat.machine))
+  if (machines_.was_removed(heartbeat.machine)) return answer(workers::encode_commands(token_, {}));
+  if (!machines_.is_releasing(heartbeat.machine))
     machines_.heartbeat_received(heartbeat.machine, heartbeat.pool);
   // An answer renews the lease of all tasks on the worker. Before the records have been read, this
   // leader does not have the cancellations, so its answer would let cancelled tasks continue. If
--- a/src/leader/scale_in.cpp
+++ b/src/leader/scale_in.cpp
@@ -39,7 +39,7 @@
 void scale_in::release_machines() {
   std::map<admission::pool, std::vector<idle_machine>> idle_by_pool;
   for (const auto& [name, worker] : workers_.all()) {
-    if (machines_.releasing(name)) continue;
+    if (machines_.is_releasing(name)) continue;
     if (const auto reason = release_reason_of(worker)) {
       machines_.release(name, *reason);
     } else if (is_idle(worker)) {
@@ -138,7 +138,7 @@
 bool scale_in::has_reached_min_rental_time(const machine_name& name) const {
   const auto machine = machines_.all().find(name);
   return machine == machines_.all().end() ||
-         runtime_.now() - machine->second.rented >= min_rental_time;
+         runtime_.now() - machine->second.rental_start >= min_rental_time;
 }
 
 }  // namespace gingerdrift::leader
--- a/src/leader/snapshot_builder.cpp
+++ b/src/leader/snapshot_builder.cpp
@@ -54,7 +54,7 @@
 
 void snapshot_builder::add_starting_machines(const types_by_name& types,
                                              admission::snapshot& snapshot) {
-  for (const auto& machine : machines_.starting()) {
+  for (const auto& machine : machines_.starting_machines()) {
     const auto type = types.find(machine.pool.type);
     // Machines in a partitioned zone can't report, so jobs must not wait for them. No more of them
     // are rented either: add_refused_pools() covers their pools.
@@ -73,7 +73,7 @@
 /// Adds the pools for which the cloud recently refused a request, and all pools of partitioned
 /// zones.
 void snapshot_builder::add_refused_pools(admission::snapshot& snapshot) const {
-  snapshot.refused_pools = machines_.refused();
+  snapshot.refused_pools = machines_.refused_pools();
   for (const auto& type : snapshot.types) {
     for (const auto& zone : type.zones) {
       if (!zones_.is_partitioned(zone)) continue;
@@ -190,7 +190,7 @@
 
 std::shared_ptr<const admission::machine_view> snapshot_builder::view_of(
     workers::worker& worker, const admission::machine_type& type) const {
-  const bool ready = workers_.accepts_tasks(worker) && !machines_.releasing(worker.name);
+  const bool ready = workers_.accepts_tasks(worker) && !machines_.is_releasing(worker.name);
   if (worker.view && worker.view->ready == ready) return worker.view;
   auto view = std::make_shared<admission::machine_view>();
   view->name = worker.name;
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -195,13 +195,13 @@
 }
 
 TEST(wire, malformed_cloud_responses_are_not_decoded) {
-  EXPECT_FALSE(cloud::read_types(R"({"flavors":[{"label":"g8"}]})").has_value());
-  EXPECT_FALSE(cloud::read_machines(R"({"hosts":[]})").has_value());
-  EXPECT_FALSE(cloud::read_rented(R"({"hosts":3})").has_value());
-  EXPECT_TRUE(cloud::says_no_capacity(R"({"error":"no capacity"})"));
-  EXPECT_FALSE(cloud::says_no_capacity(R"({"error":"trouble"})"));
-  EXPECT_FALSE(cloud::says_no_capacity(R"({"error":7})"));
-  EXPECT_FALSE(cloud::says_no_capacity("no JSON"));
+  EXPECT_FALSE(cloud::decode_machine_types(R"({"flavors":[{"label":"g8"}]})").has_value());
+  EXPECT_FALSE(cloud::decode_machine_page(R"({"hosts":[]})").has_value());
+  EXPECT_FALSE(cloud::decode_rental_response(R"({"hosts":3})").has_value());
+  EXPECT_TRUE(cloud::is_no_capacity_error(R"({"error":"no capacity"})"));
+  EXPECT_FALSE(cloud::is_no_capacity_error(R"({"error":"trouble"})"));
+  EXPECT_FALSE(cloud::is_no_capacity_error(R"({"error":7})"));
+  EXPECT_FALSE(cloud::is_no_capacity_error("no JSON"));
 }
 
 TEST(wire, malformed_final_records_are_not_decoded) {
--- a/tests/machine_type_cache_test.cpp
+++ b/tests/machine_type_cache_test.cpp
@@ -20,7 +20,7 @@
   static net::response types_response(const std::string& type_name) {
     admission::machine_type type;
     type.name = type_name;
-    return {200, cloud::write_types({type}), std::nullopt, false};
+    return {200, cloud::encode_machine_types({type}), std::nullopt, false};
   }
   static net::response unavailable_response() { return {503, "", std::nullopt, false}; }
   /// Returns the names of the types in the cache.
@@ -85,7 +85,7 @@
 TEST_F(machine_type_cache_test, keeps_the_types_when_a_later_fetch_returns_none) {
   cloud_response = types_response("g8");
   start();
-  cloud_response.body = cloud::write_types({});
+  cloud_response.body = cloud::encode_machine_types({});
   net.run_for(seconds(180));
   EXPECT_GE(cloud_calls, 2);
   EXPECT_EQ(cached_names(), names{"g8"});
