--- a/src/base/rate_budget.hpp
+++ b/src/base/token_bucket.hpp
@@ -8,11 +8,11 @@
 
 /// Token bucket that holds at most one second's worth, and at least room for one token. Its clock
 /// starts with the first call. To be used on one thread.
-class rate_budget {
+class token_bucket {
  public:
-  explicit rate_budget(double per_second) : rate_(per_second), tokens_(per_second) {}
+  explicit token_bucket(double per_second) : rate_(per_second), tokens_(per_second) {}
   /// Takes that many tokens, or none and returns false if there are fewer.
-  bool take(time_point now, double amount = 1) {
+  bool try_take(time_point now, double amount = 1) {
     refill(now);
     if (tokens_ < amount) return false;
     tokens_ -= amount;
--- a/src/cloud/cloud_client.cpp
+++ b/src/cloud/cloud_client.cpp
@@ -17,7 +17,7 @@
 
 bool cloud_client::try_acquire() {
   const time_point now = runtime_.now();
-  return now >= paused_until_ && permitted_() && budget_.take(now);
+  return now >= paused_until_ && permitted_() && budget_.try_take(now);
 }
 
 void cloud_client::call(net::request message, reply_handler done) {
--- a/src/cloud/cloud_client.hpp
+++ b/src/cloud/cloud_client.hpp
@@ -4,7 +4,7 @@
 #include <string>
 
 #include "base/callback_guard.hpp"
-#include "base/rate_budget.hpp"
+#include "base/token_bucket.hpp"
 #include "net/transport.hpp"
 
 namespace gingerdrift::cloud {
@@ -36,7 +36,7 @@
   net::runtime& runtime_;
   std::string address_;
   std::function<bool()> permitted_;
-  rate_budget budget_;
+  token_bucket budget_;
   time_point paused_until_{};
   callback_guard guard_;
 };
--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -37,7 +37,7 @@
 
 net::client_limits call_limits(const config::connection_budget& connections) {
   net::client_limits limits;
-  limits.open_total = connections.calls;
+  limits.connections_total = connections.calls;
   return limits;
 }
 
@@ -52,7 +52,7 @@
   net::server_limits limits;
   limits.connections = connections.peers;
   limits.backlog = connections.peer_backlog;
-  limits.body_bytes = largest_peer_message;
+  limits.request_body_bytes = largest_peer_message;
   return limits;
 }
 
--- a/src/kvstore/request_budget.hpp
+++ b/src/kvstore/request_budget.hpp
@@ -3,8 +3,8 @@
 #include <cstdint>
 #include <optional>
 
-#include "base/rate_budget.hpp"
 #include "base/time.hpp"
+#include "base/token_bucket.hpp"
 #include "kvstore/limits.hpp"
 
 namespace gingerdrift::kvstore {
@@ -32,7 +32,7 @@
   /// Takes a request with that many writes; false if it is ordinary and there is no room for it.
   bool reserve(time_point now, double writes, request_urgency urgency);
   /// Takes one of the requests set aside for users' questions.
-  bool reserve_for_user(time_point now) { return user_requests_.take(now); }
+  bool reserve_for_user(time_point now) { return user_requests_.try_take(now); }
   /// Whether half of a second's requests are left, so that what may wait can be asked.
   bool has_spare_requests(time_point now);
   /// Writes that the leader's records may take now; a little is left for submissions.
@@ -51,9 +51,9 @@
   std::optional<service_limits> announced_;
   limit_shares shares_;
   time_point reduced_until_{};  // the announced rates are in use until then
-  rate_budget requests_;
-  rate_budget writes_;
-  rate_budget user_requests_;
+  token_bucket requests_;
+  token_bucket writes_;
+  token_bucket user_requests_;
 };
 
 }  // namespace gingerdrift::kvstore
--- a/src/net/connection_pool.cpp
+++ b/src/net/connection_pool.cpp
@@ -29,7 +29,8 @@
 }
 
 client_connection& connection_pool::open(const std::string& address) {
-  auto connection = std::make_unique<client_connection>(loop_, address, limits_.body_bytes, owner_);
+  auto connection =
+      std::make_unique<client_connection>(loop_, address, limits_.response_body_bytes, owner_);
   ++size_;
   return *endpoints_[address].connections.emplace_back(std::move(connection));
 }
--- a/src/net/connection_pool.hpp
+++ b/src/net/connection_pool.hpp
@@ -24,7 +24,7 @@
   /// Number of connections to an address, idle or not.
   std::size_t size(const std::string& address) const;
   /// Whether all addresses together have as many connections as they may.
-  bool full() const { return size_ >= limits_.open_total; }
+  bool full() const { return size_ >= limits_.connections_total; }
   /// Whether one more connection to the address may be opened.
   bool has_room(const std::string& address) const;
   bool has_idle(const std::string& address) const;
--- a/src/net/server_connection.cpp
+++ b/src/net/server_connection.cpp
@@ -22,7 +22,7 @@
       limits_(limits),
       owner_(owner),
       state_since_(runtime.now()),
-      parser_(limits.body_bytes),
+      parser_(limits.request_body_bytes),
       stream_(runtime.loop(), read_buffer_bytes, *this) {}
 
 std::optional<uv_error> server_connection::accept(tcp_listener& listener) {
--- a/src/net/server_limits.hpp
+++ b/src/net/server_limits.hpp
@@ -12,7 +12,7 @@
   /// Connections that wait to be accepted; they hold sockets as well.
   std::size_t backlog = 64;
   /// Of a request.
-  std::size_t body_bytes = std::size_t{64} << 10;
+  std::size_t request_body_bytes = std::size_t{64} << 10;
   /// From the first byte of a request to the last.
   duration request_timeout = seconds(5);
   /// From the connection to the first byte.
--- a/tests/http_test.cpp
+++ b/tests/http_test.cpp
@@ -127,7 +127,7 @@
   static net::server_limits small_limits() {
     net::server_limits limits;
     limits.connections = 4;
-    limits.body_bytes = 1000;
+    limits.request_body_bytes = 1000;
     limits.first_byte_timeout = milliseconds(200);
     limits.request_timeout = milliseconds(200);
     return limits;
@@ -253,7 +253,7 @@
 }
 
 TEST_F(http, a_response_over_the_limit_of_the_client_is_no_answer) {
-  const std::size_t limit = net::client_limits{}.body_bytes;
+  const std::size_t limit = net::client_limits{}.response_body_bytes;
   EXPECT_EQ(ask({"POST", "/large", std::to_string(limit)}).body.size(), limit);
   EXPECT_EQ(ask({"POST", "/large", std::to_string(limit + 1)}).status, 0);
 }
--- a/tests/machine_inventory_test.cpp
+++ b/tests/machine_inventory_test.cpp
@@ -40,7 +40,7 @@
 
  private:
   net::response answer(const net::request& request) {
-    if (!budget_.take(net_.now())) {
+    if (!budget_.try_take(net_.now())) {
       ++refused_calls;
       return error(429);
     }
@@ -62,7 +62,7 @@
   }
 
   sim_net& net_;
-  rate_budget budget_;
+  token_bucket budget_;
 };
 
 /// An inventory of a large fleet, with few calls a second.
--- a/tests/support/state_service.cpp
+++ b/tests/support/state_service.cpp
@@ -43,8 +43,8 @@
 }
 
 void state_service::limit(const kvstore::service_limits& limits) {
-  request_budget_ = rate_budget(limits.requests_per_s);
-  write_budget_ = rate_budget(limits.writes_per_s);
+  request_budget_ = token_bucket(limits.requests_per_s);
+  write_budget_ = token_bucket(limits.writes_per_s);
   value_bytes_ = static_cast<std::size_t>(limits.value_kb * 1024);
   transaction_operations_ = limits.txn_operations;
 }
@@ -157,7 +157,7 @@
   };
   if (down()) return reply(json_response(503, {{"error", "trouble"}}));
   ++requests_taken_;
-  if (!request_budget_.take(net_.now())) {
+  if (!request_budget_.try_take(net_.now())) {
     ++refused_for_rate_;
     return reply(json_response(429, {{"error", "too many requests"}}));
   }
@@ -238,7 +238,7 @@
     return reply(json_response(400, {{"error", "too large"}}));
   }
   const std::size_t operations = body.at("then").size();
-  if (!write_budget_.take(net_.now(), static_cast<double>(operations))) {
+  if (!write_budget_.try_take(net_.now(), static_cast<double>(operations))) {
     ++refused_for_rate_;
     return reply(json_response(429, {{"error", "too many changes"}}));
   }
--- a/tests/support/state_service.hpp
+++ b/tests/support/state_service.hpp
@@ -6,7 +6,7 @@
 #include <string_view>
 #include <vector>
 
-#include "base/rate_budget.hpp"
+#include "base/token_bucket.hpp"
 #include "kvstore/limits.hpp"
 #include "support/json.hpp"
 #include "support/sim_net.hpp"
@@ -141,8 +141,8 @@
   std::map<std::string, duration> held_answers_;  // by target
   std::size_t value_bytes_ = std::size_t{1} << 30;
   std::size_t transaction_operations_ = std::size_t{1} << 20;
-  rate_budget request_budget_{1e9};
-  rate_budget write_budget_{1e9};
+  token_bucket request_budget_{1e9};
+  token_bucket write_budget_{1e9};
   std::size_t biggest_value_ = 0;
   std::size_t most_operations_ = 0;
   std::size_t requests_taken_ = 0;
