--- a/src/base/callback_guard.hpp
+++ b/src/base/callback_guard.hpp
@@ -6,22 +6,22 @@
 
 namespace gingerdrift {
 
-/// Keeps callbacks from running once the object that they refer to is gone.
+/// Prevents callbacks from running after the object that they refer to has been destroyed.
 ///
-/// An object that hands out callbacks owns a guard as its last member, so that it is destroyed
-/// first, and passes each callback through wrap(). A destructor that calls out itself revokes the
-/// guard before it does. To be used on one thread.
+/// An object that gives callbacks to others declares a guard as its last member, so that the guard
+/// is destroyed first, and passes each callback through wrap(). A destructor that itself calls
+/// other objects must call revoke() first. Must be used on a single thread.
 class callback_guard {
  public:
-  /// Tells whether the guard, and with it the owner, still exists.
-  class observer {
+  /// A token that reports whether the guard, and therefore its owner, still exists.
+  class liveness_token {
    public:
-    /// False once the guard is gone or revoked.
+    /// Returns false once the guard has been destroyed or revoked.
     bool alive() const { return !owner_.expired(); }
 
    private:
     friend class callback_guard;
-    explicit observer(const std::shared_ptr<const std::monostate>& owner) : owner_(owner) {}
+    explicit liveness_token(const std::shared_ptr<const std::monostate>& owner) : owner_(owner) {}
     std::weak_ptr<const std::monostate> owner_;
   };
 
@@ -30,16 +30,18 @@
   callback_guard(const callback_guard&) = delete;
   callback_guard& operator=(const callback_guard&) = delete;
 
-  /// `action`, which does nothing once the guard is gone or revoked.
+  /// Returns a callback that runs `action`, and does nothing once the guard has been destroyed or
+  /// revoked.
   template <typename callback>
   auto wrap(callback action) const {
     return [owner = observe(), action = std::move(action)](auto&&... arguments) mutable {
       if (owner.alive()) action(std::forward<decltype(arguments)>(arguments)...);
     };
   }
-  /// For code that calls out and goes on afterwards: the call may have destroyed the owner.
-  observer observe() const { return observer(owner_); }
-  /// Ends all callbacks at once.
+  /// Returns a token by which code that calls other objects can check afterwards whether the call
+  /// has destroyed the owner.
+  liveness_token observe() const { return liveness_token(owner_); }
+  /// Disables all wrapped callbacks immediately.
   void revoke() { owner_.reset(); }
 
  private:
--- a/src/base/ids.hpp
+++ b/src/base/ids.hpp
@@ -14,18 +14,18 @@
 
 namespace gingerdrift {
 
-/// An identifier that is text. Identifiers with different tags neither convert into each other nor
-/// into plain text: codecs do both explicitly. The order is that of the text.
+/// A strongly typed text identifier, ordered like its text. Identifiers with different tags do not
+/// convert into each other or into plain text; codecs convert from and to text explicitly.
 template <typename tag>
 class text_id {
  public:
   text_id() = default;
   explicit text_id(std::string text) : text_(std::move(text)) {}
-  /// A literal says at its place what it identifies, so that it converts implicitly.
+  /// Converts implicitly from a literal, as the place where it is used shows what it identifies.
   template <std::size_t size>
   text_id(const char (&literal)[size]) : text_(literal) {}
 
-  /// The text, for codecs and logs.
+  /// Returns the text, for codecs and logs.
   const std::string& str() const { return text_; }
   bool empty() const { return text_.empty(); }
 
@@ -37,17 +37,18 @@
   std::string text_;
 };
 
-/// An identifier or counter that is a number, ordered as numbers are. 0 stands for none.
+/// A strongly typed numeric identifier or counter, ordered by its value. 0 means that there is
+/// none.
 template <typename tag>
 class number_id {
  public:
   constexpr number_id() = default;
   constexpr explicit number_id(std::uint64_t value) : value_(value) {}
 
-  /// The number, for codecs and logs.
+  /// Returns the number, for codecs and logs.
   constexpr std::uint64_t value() const { return value_; }
   constexpr number_id next() const { return number_id(value_ + 1); }
-  /// False for 0.
+  /// Reports whether the value is other than 0.
   constexpr bool exists() const { return value_ != 0; }
 
   friend constexpr bool operator==(const number_id&, const number_id&) = default;
@@ -60,26 +61,26 @@
   std::uint64_t value_ = 0;
 };
 
-/// A job, as its user named it.
+/// The name of a job, chosen by its user.
 using job_id = text_id<struct job_id_tag>;
-/// A controller.
+/// The name of a controller.
 using node_name = text_id<struct node_name_tag>;
-/// A machine, as the cloud named it. Names never recur.
+/// The name of a machine, assigned by the cloud. Names are never reused.
 using machine_name = text_id<struct machine_name_tag>;
-/// A zone. Empty where any zone will do, or none is known.
+/// The name of a zone. Empty if any zone is acceptable or the zone is unknown.
 using zone_name = text_id<struct zone_name_tag>;
 
-/// The fencing token of a term of leadership: each leader's is higher than all before.
+/// The fencing token of a leadership term. Each term's token is higher than all earlier ones.
 using fencing_token = number_id<struct fencing_token_tag>;
-/// The incarnation of a worker: it counts up whenever the worker's lease has expired.
+/// The incarnation number of a worker. Incremented each time the worker's lease expires.
 using worker_incarnation = number_id<struct worker_incarnation_tag>;
-/// The attempt number of a task; no two attempts of a task share one.
+/// The number of an attempt of a task, unique within the task.
 using attempt_number = number_id<struct attempt_number_tag>;
-/// A revision of the key-value store. As the version of a key: the revision that wrote it, 0 where
-/// the key is absent.
+/// A revision of the key-value store. The version of a key is the revision that last wrote it, or 0
+/// if the key does not exist.
 using store_revision = number_id<struct store_revision_tag>;
 
-/// The texts of identifiers, for codecs.
+/// Converts identifiers into texts, for codecs.
 template <typename tag>
 std::vector<std::string> texts_of(const std::vector<text_id<tag>>& ids) {
   std::vector<std::string> texts;
@@ -88,7 +89,7 @@
   return texts;
 }
 
-/// Identifiers from their texts, for codecs.
+/// Converts texts into identifiers, for codecs.
 template <typename id>
 std::vector<id> ids_of(const std::vector<std::string>& texts) {
   std::vector<id> ids;
@@ -97,14 +98,14 @@
   return ids;
 }
 
-/// A task of a job, by its index there.
+/// Identifies a task by its job and its index within the job.
 struct task_id {
   job_id job;
   std::uint32_t index = 0;
   friend auto operator<=>(const task_id&, const task_id&) = default;
 };
 
-/// An attempt of a task.
+/// Identifies an attempt by its task and the attempt number.
 struct attempt_id {
   task_id task;
   attempt_number number;
@@ -113,7 +114,8 @@
 
 }  // namespace gingerdrift
 
-/// Hashed like the text, so that containers keep their order whichever of the two is the key.
+/// Hashes an identifier like its text. Unordered containers therefore iterate in the same order
+/// whether their key is the identifier or the text.
 template <typename tag>
 struct std::hash<gingerdrift::text_id<tag>> {
   std::size_t operator()(const gingerdrift::text_id<tag>& id) const {
@@ -121,7 +123,7 @@
   }
 };
 
-/// For log records.
+/// Formats a text identifier for log records.
 template <typename tag>
 struct fmt::formatter<gingerdrift::text_id<tag>> : fmt::formatter<std::string_view> {
   /// Writes the text.
@@ -131,7 +133,7 @@
   }
 };
 
-/// For log records.
+/// Formats a numeric identifier for log records.
 template <typename tag>
 struct fmt::formatter<gingerdrift::number_id<tag>> : fmt::formatter<std::uint64_t> {
   /// Writes the number.
--- a/src/base/metrics.hpp
+++ b/src/base/metrics.hpp
@@ -10,18 +10,19 @@
 
 namespace gingerdrift {
 
-/// Durations on a logarithmic scale, for the status report. Belongs to the event loop's
-/// thread.
+/// Histogram of durations on a logarithmic scale, for the status report. Must be used on the event
+/// loop's thread.
 class duration_histogram {
  public:
-  /// Counts one duration.
+  /// Records a duration.
   void add(duration value) {
     total_ += value;
     counts_(to_seconds(value) * 1000);
   }
-  /// The sum of all durations.
+  /// Returns the sum of all recorded durations.
   duration total() const { return total_; }
-  /// Count, median and 99th percentile in milliseconds; both are 0 without a duration.
+  /// Returns the number of recorded durations, and their median and 99th percentile in
+  /// milliseconds. Both percentiles are 0 if nothing was recorded.
   nlohmann::json summary() const {
     double count = 0;
     for (auto&& cell : boost::histogram::indexed(counts_, boost::histogram::coverage::all)) {
@@ -31,27 +32,28 @@
   }
 
  private:
-  /// Upper edge of the bin that this share of the `count` durations reaches.
-  double quantile(double share, double count) const {
+  /// Returns the upper edge, in milliseconds, of the first bin at which the given fraction of all
+  /// `count` durations is reached.
+  double quantile(double fraction, double count) const {
     double sum = 0;
     for (auto&& cell : boost::histogram::indexed(counts_, boost::histogram::coverage::all)) {
       sum += *cell;
-      if (count > 0 && sum >= share * count) return cell.bin().upper();
+      if (count > 0 && sum >= fraction * count) return cell.bin().upper();
     }
     return 0;
   }
   using axis = boost::histogram::axis::regular<double, boost::histogram::axis::transform::log>;
   using histogram = decltype(boost::histogram::make_histogram(std::declval<axis>()));
-  static constexpr unsigned bins = 30;
-  static constexpr double least_ms = 0.01;
-  static constexpr double most_ms = 10000;
+  static constexpr unsigned bin_count = 30;
+  static constexpr double min_ms = 0.01;
+  static constexpr double max_ms = 10000;
 
   duration total_{};
-  histogram counts_ = boost::histogram::make_histogram(axis(bins, least_ms, most_ms));
+  histogram counts_ = boost::histogram::make_histogram(axis(bin_count, min_ms, max_ms));
 };
 
-/// Adds the time between its construction and its end to a sum. Real time, in tests with virtual
-/// time as well.
+/// Adds the time between its construction and its destruction to a sum. Measures real time, even in
+/// tests that run in virtual time.
 class stopwatch {
  public:
   explicit stopwatch(duration& sum) : sum_(sum) {}
@@ -64,18 +66,18 @@
   time_point begin_ = std::chrono::steady_clock::now();
 };
 
-/// Counters of one controller since its start, for the status report. Belongs to the event loop's
-/// thread.
+/// Metrics of one controller since its start, for the status report. Must be used on the event
+/// loop's thread.
 struct metrics {
-  /// Time that scheduling cycles took on the scheduling thread.
+  /// Durations of the scheduling cycles on the scheduling thread.
   duration_histogram scheduling_cycles;
-  // Time of the event loop's thread, by activity:
+  // Time spent on the event loop's thread, by activity:
   duration heartbeat_time{};
   duration user_request_time{};
   duration peer_request_time{};
   duration snapshot_time{};
   duration decision_time{};
-  // Events:
+  // Event counts:
   std::uint64_t user_requests = 0;
   std::uint64_t heartbeats = 0;
   std::uint64_t redirected_heartbeats = 0;
--- a/src/base/range_set.hpp
+++ b/src/base/range_set.hpp
@@ -6,15 +6,16 @@
 
 namespace gingerdrift {
 
-/// A set of task indices kept as closed ranges, so that 100,000 finished tasks stay small.
+/// A set of task indices, stored as closed ranges so that 100,000 finished tasks need little
+/// memory.
 class range_set {
  public:
-  /// Whether the value was inserted.
+  /// Reports whether the set contains `value`.
   bool contains(std::uint32_t value) const {
     const auto next = ranges_.upper_bound(value);
     return next != ranges_.begin() && value <= std::prev(next)->second;
   }
-  /// Returns whether the value is new.
+  /// Inserts a value. Returns false if the set already contains it.
   bool insert(std::uint32_t value) {
     if (contains(value)) return false;
     std::uint32_t first = value;
@@ -35,13 +36,14 @@
     ++count_;
     return true;
   }
-  /// Inserts a closed range.
+  /// Inserts all values from `first` to `last`, both included.
   void insert_range(std::uint32_t first, std::uint32_t last) {
     for (std::uint32_t value = first; value <= last; ++value) insert(value);
   }
-  /// How many values it holds.
+  /// Returns the number of values.
   std::uint32_t count() const { return count_; }
-  /// The last value of each range, by its first. Ranges neither touch nor overlap.
+  /// Returns the ranges as a map from first to last value. Ranges are neither adjacent nor
+  /// overlapping.
   const std::map<std::uint32_t, std::uint32_t>& ranges() const { return ranges_; }
 
  private:
--- a/src/base/recent_count.hpp
+++ b/src/base/recent_count.hpp
@@ -6,16 +6,17 @@
 
 namespace gingerdrift {
 
-/// Counts events of the last one to two periods, in constant memory. To be used on one thread.
+/// Counts recent events in constant memory. The count covers the current period and the one before,
+/// that is between one and two periods of time. Must be used on a single thread.
 class recent_count {
  public:
   explicit recent_count(duration period) : period_(period) {}
-  /// Counts one event.
+  /// Records an event.
   void add(time_point now) {
     advance(now);
     ++current_;
   }
-  /// Events of the period under way and of the one before.
+  /// Returns the number of events in the current period and the one before.
   std::uint64_t count(time_point now) {
     advance(now);
     return current_ + previous_;
--- a/src/base/time.hpp
+++ b/src/base/time.hpp
@@ -12,11 +12,12 @@
 using wall_time = std::chrono::system_clock::time_point;
 using fractional_seconds = std::chrono::duration<double>;
 
-/// Wire and settings durations are decimal seconds; this is the only place that converts them.
+/// Converts decimal seconds, the unit of durations on the wire and in settings. All such
+/// conversions go through this function and to_seconds().
 inline duration from_seconds(double value) {
   return std::chrono::duration_cast<duration>(fractional_seconds(value));
 }
-/// The duration in decimal seconds.
+/// Returns the duration in decimal seconds.
 inline double to_seconds(duration value) {
   return std::chrono::duration_cast<fractional_seconds>(value).count();
 }
