--- a/src/net/address.hpp
+++ b/src/net/address.hpp
@@ -7,7 +7,8 @@
 
 namespace gingerdrift::net {
 
-/// Parses "10.0.0.1:8080"; nothing when it is not an IPv4 address with a port.
+/// Parses an address such as "10.0.0.1:8080". Returns nullopt unless `address` is an IPv4 address
+/// followed by a colon and a port from 1 to 65535.
 std::optional<sockaddr_in> parse_address(const std::string& address);
 
 }  // namespace gingerdrift::net
--- a/src/net/client_connection.cpp
+++ b/src/net/client_connection.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// The most that is read at once.
+/// Maximum number of bytes per read.
 constexpr std::size_t read_buffer_bytes = std::size_t{16} << 10;
 
 }  // namespace
@@ -46,7 +46,8 @@
 
 void client_connection::write_outgoing() {
   const std::string bytes = std::exchange(outgoing_, {});
-  // A failed write shows as the end of the stream or as the call's deadline.
+  // A failed write is not handled here: it leads to the end of the stream, or the call reaches its
+  // deadline.
   const std::size_t written = stream_.try_write(bytes).value_or(0);
   if (written < bytes.size()) stream_.queue_write(bytes.substr(written));
 }
--- a/src/net/client_connection.hpp
+++ b/src/net/client_connection.hpp
@@ -14,34 +14,39 @@
 
 namespace gingerdrift::net {
 
-/// A connection to an HTTP server, for one request at a time. Its destruction closes it. Belongs to
-/// the loop's thread.
+/// Client side of a connection to an HTTP server. Carries one request at a time. The destructor
+/// closes the connection. Must be used on the event loop's thread.
 class client_connection final : private tcp_stream::observer {
  public:
-  /// Told of the connection's events. Each call may destroy the connection.
+  /// Receives the connection's events. Each of these functions may destroy the connection.
   class observer {
    public:
-    /// The response to the request that was sent. The connection may be used again if it is kept.
+    /// Called with the response to the current request. `persistence` says whether the server keeps
+    /// the connection open; if so, the connection can carry another request.
     virtual void on_response(client_connection& connection, response result,
                              connection_persistence persistence) = 0;
-    /// The connection is of no use any more; a request that was sent gets no response.
+    /// Called when the connection has become unusable. A request that is still awaiting its
+    /// response gets none.
     virtual void on_failure(client_connection& connection) = 0;
 
    protected:
     ~observer() = default;
   };
 
-  /// A connection to `address`, still closed. The owner must outlive it.
+  /// Creates a connection to `address` that is not yet open; see connect(). `owner` receives its
+  /// events and must outlive it. A response whose body exceeds `max_body_bytes` is reported
+  /// by on_failure().
   client_connection(uv_loop_t* loop, std::string address, std::size_t max_body_bytes,
                     observer& owner);
   client_connection(const client_connection&) = delete;
   client_connection& operator=(const client_connection&) = delete;
 
   const std::string& address() const { return address_; }
-  /// Connects to `server`, which is the parsed address. A failure at once is returned, a later one
-  /// goes to the owner.
+  /// Starts to connect to `server`, the parsed form of address(). Returns an error that occurs
+  /// immediately; the owner is notified of a later one by on_failure().
   std::optional<uv_error> connect(const sockaddr_in& server);
-  /// Sends a request, as soon as the connection stands. There must be no other without response.
+  /// Sends a request once the connection is established. No earlier request may still be awaiting
+  /// its response.
   void send(const request& message);
 
  private:
@@ -53,7 +58,7 @@
   std::string address_;
   observer& owner_;
   response_parser parser_;
-  std::string outgoing_;  // the request until it is written
+  std::string outgoing_;  // the current request, until it is written to the stream
   bool connected_ = false;
   bool awaits_response_ = false;
   tcp_stream stream_;
--- a/src/net/connection_pool.cpp
+++ b/src/net/connection_pool.cpp
@@ -11,8 +11,8 @@
   return found == endpoints_.end() ? 0 : found->second.connections.size();
 }
 
-bool connection_pool::has_room(const std::string& address) const {
-  return !full() && size(address) < limits_.open_per_address;
+bool connection_pool::can_open(const std::string& address) const {
+  return !is_full() && size(address) < limits_.connections_per_address;
 }
 
 bool connection_pool::has_idle(const std::string& address) const {
@@ -49,13 +49,14 @@
 }
 
 void connection_pool::close_longest_idle() {
-  const idle_connection* longest = nullptr;
+  const idle_connection* longest_idle = nullptr;
   for (const auto& [address, remote] : endpoints_) {
     for (const auto& candidate : remote.idle) {
-      if (longest == nullptr || candidate.since < longest->since) longest = &candidate;
+      if (longest_idle == nullptr || candidate.since < longest_idle->since)
+        longest_idle = &candidate;
     }
   }
-  if (longest != nullptr) close(*longest->connection);
+  if (longest_idle != nullptr) close(*longest_idle->connection);
 }
 
 void connection_pool::close_expired(time_point now) {
--- a/src/net/connection_pool.hpp
+++ b/src/net/connection_pool.hpp
@@ -10,41 +10,45 @@
 
 namespace gingerdrift::net {
 
-/// Owns the connections of an HTTP client, and keeps those that are idle for later requests to the
-/// same address. Belongs to the loop's thread.
+/// Owns the connections of an HTTP client, and keeps idle ones for later requests to the same
+/// address. Must be used on the event loop's thread.
 class connection_pool {
  public:
-  /// `owner` is told of the events of all connections, and must outlive the pool.
+  /// `owner` receives the events of all connections and must outlive the pool.
   connection_pool(uv_loop_t* loop, const client_limits& limits, client_connection::observer& owner);
   connection_pool(const connection_pool&) = delete;
   connection_pool& operator=(const connection_pool&) = delete;
 
-  /// Number of connections, idle or not.
+  /// Returns the number of connections to all addresses, including idle ones.
   std::size_t size() const { return size_; }
-  /// Number of connections to an address, idle or not.
+  /// Returns the number of connections to `address`, including idle ones.
   std::size_t size(const std::string& address) const;
-  /// Whether all addresses together have as many connections as they may.
-  bool full() const { return size_ >= limits_.connections_total; }
-  /// Whether one more connection to the address may be opened.
-  bool has_room(const std::string& address) const;
+  /// Reports whether the limit of connections to all addresses together is reached.
+  bool is_full() const { return size_ >= limits_.connections_total; }
+  /// Reports whether the limits permit another connection to `address`.
+  bool can_open(const std::string& address) const;
+  /// Reports whether there is an idle connection to `address`.
   bool has_idle(const std::string& address) const;
 
-  /// Takes the connection that was used last out of the idle ones; null when there is none.
+  /// Returns the most recently used idle connection to `address` and no longer counts it as idle;
+  /// null when there is none.
   client_connection* take_idle(const std::string& address);
-  /// Adds a connection, which is not idle and still has to be connected.
+  /// Adds a connection that is not idle. The caller must connect it.
   client_connection& open(const std::string& address);
-  /// Makes a connection idle.
+  /// Marks a connection as idle since `now`.
   void put_idle(client_connection& connection, time_point now);
-  /// Destroys a connection.
+  /// Closes and destroys a connection, whether idle or not.
   void close(client_connection& connection);
-  /// Makes room for a connection to another address.
+  /// Closes the connection that has been idle for longest, so that one to another address can be
+  /// opened. Does nothing if no connection is idle.
   void close_longest_idle();
-  /// Closes what has been idle for too long. A machine that is gone without a word leaves its
-  /// connection behind, and machines come and go for as long as this process runs.
+  /// Closes connections that have been idle for longer than the idle timeout. A machine that
+  /// disappears without closing its connection leaves it open here. Machines are replaced
+  /// throughout the lifetime of this process, so such connections would accumulate.
   void close_expired(time_point now);
 
  private:
-  /// A connection without a request, and since when.
+  /// A connection that carries no request, and the time at which it became idle.
   struct idle_connection {
     client_connection* connection = nullptr;
     time_point since;
@@ -52,7 +56,7 @@
   /// All connections to one address.
   struct endpoint {
     std::vector<std::unique_ptr<client_connection>> connections;
-    std::vector<idle_connection> idle;  // the one that was used last is last
+    std::vector<idle_connection> idle;  // ordered by `since`, most recently used last
   };
 
   uv_loop_t* loop_;
--- a/src/net/event_loop.hpp
+++ b/src/net/event_loop.hpp
@@ -4,8 +4,9 @@
 
 namespace gingerdrift::net {
 
-/// Owns a libuv loop. Everything with a handle on the loop must be destroyed before it; handles
-/// that are still closing then get the time to do so. Belongs to the thread that runs it.
+/// Owns a libuv loop. All owners of a handle on the loop must be destroyed before it; the
+/// destructor runs the loop until those handles have finished closing. Must be used on the thread
+/// that runs the loop.
 class event_loop {
  public:
   event_loop() { uv_loop_init(&loop_); }
@@ -16,11 +17,11 @@
   event_loop(const event_loop&) = delete;
   event_loop& operator=(const event_loop&) = delete;
 
-  /// Runs until stop() or until there is nothing left to wait for.
+  /// Runs until stop() is called or no active handles or requests are left.
   void run() { uv_run(&loop_, UV_RUN_DEFAULT); }
-  /// Makes run() return after the current turn.
+  /// Makes run() return after the current loop iteration.
   void stop() { uv_stop(&loop_); }
-  /// For the initialization of handles.
+  /// Returns the libuv loop, for the initialization of handles.
   uv_loop_t* get() { return &loop_; }
 
  private:
--- a/src/net/http_client.hpp
+++ b/src/net/http_client.hpp
@@ -13,24 +13,25 @@
 
 namespace gingerdrift::net {
 
-/// Calls HTTP servers over persistent connections, each of which carries one call at a time. Calls
-/// beyond the connections of an address wait in its queue, a few of them; the rest is refused.
-/// Belongs to the loop's thread.
+/// Calls HTTP servers over persistent connections, each of which carries one call at a time. Once
+/// no further connection to an address can be opened, calls to it wait in a bounded queue; calls
+/// beyond that bound are refused. Must be used on the event loop's thread.
 class http_client final : private client_connection::observer {
  public:
-  /// The timers must outlive the client; they must not run any more once it is destroyed.
+  /// `timers` must outlive the client, and must not run any action once the client is destroyed.
   http_client(uv_loop_t* loop, timer_queue& timers, const client_limits& limits);
   http_client(const http_client&) = delete;
   http_client& operator=(const http_client&) = delete;
 
-  /// As runtime::call(). Calls that have not ended when the client is destroyed get no reply.
+  /// Sends a request as described at runtime::call(). Calls that are still pending when the client
+  /// is destroyed get no reply.
   void call(const std::string& address, request message, duration deadline, reply_fn done);
-  /// Number of connections, idle ones included.
+  /// Returns the number of connections, including idle ones.
   std::size_t open_connections() const { return pool_.size(); }
 
  private:
   using call_id = std::uint64_t;
-  /// A call that has no reply yet, whether it is queued or sent.
+  /// A call that has no reply yet, either queued or sent.
   struct pending_call {
     call_id id;
     request message;
@@ -44,12 +45,13 @@
 
   void dispatch(const std::string& address, pending_call call);
   void open_connection(const std::string& address, const sockaddr_in& server, pending_call call);
-  void start(client_connection& connection, pending_call call);
+  void send_call(client_connection& connection, pending_call call);
   void queue_or_refuse(const std::string& address, pending_call call);
   void refuse(pending_call call);
-  void finish(client_connection& connection, response result, connection_persistence persistence);
-  void give_up(const std::string& address, call_id id);
-  void give_up_queued(const std::string& address, call_id id);
+  void finish_call(client_connection& connection, response result,
+                   connection_persistence persistence);
+  void fail_call(const std::string& address, call_id id);
+  void fail_queued_call(const std::string& address, call_id id);
   void start_next_queued(const std::string& address);
   void close_expired();
 
@@ -58,6 +60,7 @@
   call_id next_id_ = 1;
   std::unordered_map<std::string, std::deque<pending_call>> queues_;  // by address
   connection_pool pool_;
+  // The call that each busy connection carries.
   std::unordered_map<client_connection*, pending_call> active_;
 };
 
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -10,8 +10,8 @@
 namespace {
 
 constexpr std::uint32_t max_header_bytes = 16U << 10;
-/// Connections are checked for passed deadlines this often.
-constexpr duration sweep_period = seconds(1);
+/// Interval between checks for connections that have missed their deadline.
+constexpr duration overdue_check_interval = seconds(1);
 
 }  // namespace
 
@@ -25,8 +25,8 @@
       limits_(limits),
       handler_(std::move(handler)),
       listener_(runtime.loop(), *this),
-      sweep_timer_(runtime) {
-  limit_header_bytes(max_header_bytes);
+      overdue_check_timer_(runtime) {
+  set_max_header_bytes(max_header_bytes);
   close_overdue();
 }
 
@@ -39,12 +39,13 @@
 }
 
 void http_server::on_connection() {
-  if (full()) close_longest_idle();
+  if (is_full()) close_longest_idle();
   server_connection::observer& owner = *this;
   auto connection = std::make_unique<server_connection>(next_id_++, runtime_, limits_, owner);
-  // Accepted even without room, so that it is closed instead of left waiting.
+  // Accepted even at the connection limit, so that the connection is closed instead of staying in
+  // the backlog.
   const auto error = connection->accept(listener_);
-  if (error || full()) return;
+  if (error || is_full()) return;
   connection->start();
   const auto id = connection->id();
   connections_.emplace(id, std::move(connection));
@@ -52,38 +53,40 @@
 
 void http_server::on_request(server_connection& connection, const request& message) {
   handler_(message, guard_.wrap([this, id = connection.id()](const response& result) {
-    answer(id, result);
+    send_response(id, result);
   }));
 }
 
 void http_server::on_end(server_connection& connection) { connections_.erase(connection.id()); }
 
-void http_server::answer(server_connection::id_type id, const response& result) {
+void http_server::send_response(server_connection::id_type id, const response& result) {
   const auto found = connections_.find(id);
-  if (found == connections_.end() || !found->second->awaits_answer()) return;
-  found->second->answer(result, near_connection_limit() ? connection_persistence::close
-                                                        : connection_persistence::keep_alive);
+  if (found == connections_.end() || !found->second->awaits_response()) return;
+  found->second->send_response(result, is_near_connection_limit()
+                                           ? connection_persistence::close
+                                           : connection_persistence::keep_alive);
 }
 
-bool http_server::near_connection_limit() const {
+bool http_server::is_near_connection_limit() const {
   return static_cast<double>(connections_.size()) >
          static_cast<double>(limits_.connections) * limits_.keep_alive_share;
 }
 
 void http_server::close_longest_idle() {
-  const server_connection* longest = nullptr;
+  const server_connection* longest_idle = nullptr;
   for (const auto& [id, connection] : connections_) {
     const auto since = connection->idle_since();
     if (!since) continue;
-    if (longest == nullptr || *since < *longest->idle_since()) longest = connection.get();
+    if (longest_idle == nullptr || *since < *longest_idle->idle_since())
+      longest_idle = connection.get();
   }
-  if (longest != nullptr) connections_.erase(longest->id());
+  if (longest_idle != nullptr) connections_.erase(longest_idle->id());
 }
 
 void http_server::close_overdue() {
   const time_point now = runtime_.now();
-  std::erase_if(connections_, [now](const auto& entry) { return entry.second->overdue(now); });
-  sweep_timer_.start(sweep_period, [this] { close_overdue(); });
+  std::erase_if(connections_, [now](const auto& entry) { return entry.second->is_overdue(now); });
+  overdue_check_timer_.start(overdue_check_interval, [this] { close_overdue(); });
 }
 
 }  // namespace gingerdrift::net
--- a/src/net/http_server.hpp
+++ b/src/net/http_server.hpp
@@ -16,31 +16,37 @@
 
 namespace gingerdrift::net {
 
-/// Why a server can't listen.
+/// The reason why a server cannot listen on an address.
 struct listen_error {
   std::string address;
-  /// What the system answered; nothing when `address` can't be parsed.
+  /// The error of the system call; absent when `address` could not be parsed.
   std::optional<uv_error> cause;
 
-  /// The text for the operator.
+  /// Returns a description for the operator.
   std::string message() const;
 };
 
-/// HTTP/1.1 server on the loop. Every connection has a deadline in every state, and the number of
-/// connections is bounded: the longest idle one makes room, else the new one is closed. Before that
-/// bound is reached, connections end with their answers: more workers than sockets then take turns,
-/// and nobody is pushed out between a question and its answer, or loses a lease for want of a
-/// socket. Belongs to the loop's thread.
+/// HTTP/1.1 server on the event loop. Every connection has a deadline in every state, except while
+/// the handler processes its request; the handler replies within a deadline of its own.
+///
+/// The number of connections is limited. At the limit, a new connection replaces the one that has
+/// been idle for longest, or is closed if none is idle. Near the limit, the server closes each
+/// connection after its response. Workers can then share fewer sockets than there are workers: no
+/// client is disconnected between its request and the response, and no worker loses its lease
+/// because it cannot get a connection.
+///
+/// Must be used on the event loop's thread.
 class http_server final : private tcp_listener::observer, private server_connection::observer {
  public:
-  /// Replies that come after the end of the server, or of the request's connection, are dropped.
+  /// Calls `handler` for each request. A reply is dropped if the server has been destroyed or the
+  /// request's connection has been closed by then.
   http_server(uv_runtime& runtime, const server_limits& limits, handler_fn handler);
   http_server(const http_server&) = delete;
   http_server& operator=(const http_server&) = delete;
 
-  /// Listens on an address, "10.0.0.1:8080". Nothing is returned on success.
+  /// Listens on an address such as "10.0.0.1:8080". Returns nullopt on success.
   std::optional<listen_error> listen(const std::string& address);
-  /// Number of open connections.
+  /// Returns the number of open connections, including idle ones.
   std::size_t open_connections() const { return connections_.size(); }
 
  private:
@@ -48,9 +54,9 @@
   void on_request(server_connection& connection, const request& message) override;
   void on_end(server_connection& connection) override;
 
-  void answer(server_connection::id_type id, const response& result);
-  bool full() const { return connections_.size() >= limits_.connections; }
-  bool near_connection_limit() const;
+  void send_response(server_connection::id_type id, const response& result);
+  bool is_full() const { return connections_.size() >= limits_.connections; }
+  bool is_near_connection_limit() const;
   void close_longest_idle();
   void close_overdue();
 
@@ -60,7 +66,7 @@
   tcp_listener listener_;
   server_connection::id_type next_id_ = 1;
   std::unordered_map<server_connection::id_type, std::unique_ptr<server_connection>> connections_;
-  timer sweep_timer_;
+  timer overdue_check_timer_;
   callback_guard guard_;
 };
 
--- a/src/net/message_parser.cpp
+++ b/src/net/message_parser.cpp
@@ -9,13 +9,13 @@
 
 namespace {
 
-// What callbacks of http_parser return.
-constexpr int proceed = 0;
-constexpr int fail = 1;
+// Return values of http_parser callbacks.
+constexpr int continue_parsing = 0;
+constexpr int abort_parsing = 1;
 
 }  // namespace
 
-void limit_header_bytes(std::uint32_t bytes) { http_parser_set_max_header_size(bytes); }
+void set_max_header_bytes(std::uint32_t bytes) { http_parser_set_max_header_size(bytes); }
 
 message_parser::message_parser(http_parser_type type, std::size_t max_body_bytes)
     : type_(type), max_body_bytes_(max_body_bytes) {
@@ -28,15 +28,15 @@
     http_parser_settings callbacks{};
     callbacks.on_url = [](http_parser* parser, const char* piece, std::size_t size) {
       owner_of(parser).on_target({piece, size});
-      return proceed;
+      return continue_parsing;
     };
     callbacks.on_header_field = [](http_parser* parser, const char* name, std::size_t size) {
       owner_of(parser).on_header_name({name, size});
-      return proceed;
+      return continue_parsing;
     };
     callbacks.on_header_value = [](http_parser* parser, const char* value, std::size_t size) {
       owner_of(parser).on_header_value({value, size});
-      return proceed;
+      return continue_parsing;
     };
     callbacks.on_body = [](http_parser* parser, const char* bytes, std::size_t size) {
       return owner_of(parser).on_body({bytes, size});
@@ -52,19 +52,19 @@
 int message_parser::on_body(std::string_view bytes) {
   if (body_.size() + bytes.size() > max_body_bytes_) {
     body_too_large_ = true;
-    return fail;
+    return abort_parsing;
   }
   body_.append(bytes);
-  return proceed;
+  return continue_parsing;
 }
 
 int message_parser::on_message_complete() {
   complete_ = true;
   persistence_ = http_should_keep_alive(&parser_) != 0 ? connection_persistence::keep_alive
                                                        : connection_persistence::close;
-  // Else the parser would go on with the next message.
+  // Without the pause, the parser would continue with the next message.
   http_parser_pause(&parser_, 1);
-  return proceed;
+  return continue_parsing;
 }
 
 parse_result message_parser::parse(std::string_view bytes) {
--- a/src/net/message_parser.hpp
+++ b/src/net/message_parser.hpp
@@ -13,56 +13,61 @@
 
 namespace gingerdrift::net {
 
-/// Bounds the header of every message that is parsed in this process, by servers and clients.
-void limit_header_bytes(std::uint32_t bytes);
+/// Sets the maximum header size of all messages that servers and clients of this process parse.
+void set_max_header_bytes(std::uint32_t bytes);
 
-/// Where a parser stands within a message.
+/// The state of the message that a parser reads.
 enum class parse_state { incomplete, complete, malformed, body_too_large };
 
-/// What parsing some bytes led to.
+/// The result of one call of message_parser::parse().
 struct parse_result {
   parse_state state = parse_state::incomplete;
-  /// Bytes that belong to the message; the rest is of the next one. Set for complete messages.
+  /// The number of bytes that belong to the message; those after it belong to the next message. 0
+  /// unless the message is complete.
   std::size_t consumed = 0;
 };
 
-/// Parses HTTP/1.1 messages piece by piece, and stops behind each. What requests and responses have
-/// in common. Belongs to the thread of its connection.
+/// Incremental HTTP/1.1 parser that stops after each message. Common base of the parsers of
+/// requests and responses. Must be used on the thread of its connection.
 class message_parser {
  public:
   message_parser(const message_parser&) = delete;
   message_parser& operator=(const message_parser&) = delete;
 
-  /// Continues the current message. Bytes behind its end are neither read nor kept.
+  /// Parses further bytes of the current message. Bytes after its end are neither parsed nor
+  /// stored.
   parse_result parse(std::string_view bytes);
-  /// Whether the sender of the last complete message lets the connection go on.
+  /// Reports whether the sender of the last complete message keeps the connection open.
   connection_persistence persistence() const { return persistence_; }
 
  protected:
   message_parser(http_parser_type type, std::size_t max_body_bytes);
   ~message_parser() = default;
 
-  /// Forgets the bytes of the last message.
+  /// Discards the body and the result of the last message.
   void clear_message();
-  /// Expects the first message of another stream.
+  /// Resets the parser to the beginning of a stream.
   void restart_stream();
   const http_parser& parser() const { return parser_; }
+  /// Returns the body and leaves it empty in the parser.
   std::string take_body() { return std::exchange(body_, {}); }
 
  private:
-  /// The object behind a callback's argument.
+  /// Returns the message_parser that `parser` belongs to.
   static message_parser& owner_of(const http_parser* parser) {
     return *static_cast<message_parser*>(parser->data);
   }
   static const http_parser_settings& callbacks();
 
-  /// A piece of a request's target; the pieces come in order.
+  /// Called with a part of the request target; parts arrive in order.
   virtual void on_target(std::string_view /*piece*/) {}
-  /// The name of a header field, whose value comes next.
+  /// Called with the name of a header field; its value follows.
   virtual void on_header_name(std::string_view /*name*/) {}
+  /// Called with the value of the last named header field.
   virtual void on_header_value(std::string_view /*value*/) {}
-  /// Returns `proceed` or `fail`, as does the next.
+  /// Called with a part of the body. Returns continue_parsing or abort_parsing.
   int on_body(std::string_view bytes);
+  /// Called at the end of a message. Returns continue_parsing.
   int on_message_complete();
 
   http_parser_type type_;
@@ -74,14 +79,15 @@
   connection_persistence persistence_ = connection_persistence::keep_alive;
 };
 
-/// Parses the requests of one connection; an error stays until its end.
+/// Parses the requests of one connection. After a malformed request or one whose body is too
+/// large, all further parsing fails.
 class request_parser final : public message_parser {
  public:
   explicit request_parser(std::size_t max_body_bytes);
 
-  /// Expects the next request.
+  /// Prepares to parse the next request.
   void start_message();
-  /// The complete request; the parser keeps nothing of it.
+  /// Returns the complete request and removes it from the parser.
   request take_request();
 
  private:
@@ -90,21 +96,21 @@
   std::string target_;
 };
 
-/// Parses responses, each as the first of its connection.
+/// Parses responses. Each is parsed as if it were the first on its connection.
 class response_parser final : public message_parser {
  public:
   explicit response_parser(std::size_t max_body_bytes);
 
-  /// Expects the response to a new request.
+  /// Prepares to parse the response to a new request.
   void start_message();
-  /// The complete response; the parser keeps nothing of its body.
+  /// Returns the complete response and removes its body from the parser.
   response take_response();
 
  private:
   void on_header_name(std::string_view name) override { header_name_.assign(name); }
   void on_header_value(std::string_view value) override;
 
-  std::string header_name_;  // whose value comes next
+  std::string header_name_;  // name of the field whose value follows
   std::optional<seconds> retry_after_;
 };
 
--- a/src/net/message_writer.cpp
+++ b/src/net/message_writer.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-/// Header fields that requests and responses share, each with its line end.
+/// Returns the header fields that requests and responses have in common, each with its line ending.
 std::string content_fields(const std::string& body) {
   return "Content-Type: application/json\r\nContent-Length: " + std::to_string(body.size()) +
          "\r\n";
--- a/src/net/message_writer.hpp
+++ b/src/net/message_writer.hpp
@@ -7,9 +7,10 @@
 
 namespace gingerdrift::net {
 
-/// An HTTP/1.1 request as sent. `host` is the value of the Host field.
+/// Returns the bytes of an HTTP/1.1 request. `host` is the value of the Host field.
 std::string write_request(const request& message, const std::string& host);
-/// An HTTP/1.1 response as sent, with "Connection: close" when the connection does not go on.
+/// Returns the bytes of an HTTP/1.1 response. They include "Connection: close" if `persistence` is
+/// close.
 std::string write_response(const response& result, connection_persistence persistence);
 
 }  // namespace gingerdrift::net
--- a/src/net/persistence.hpp
+++ b/src/net/persistence.hpp
@@ -2,7 +2,7 @@
 
 namespace gingerdrift::net {
 
-/// Whether a connection goes on after a response.
+/// Whether a connection stays open after a response.
 enum class connection_persistence { keep_alive, close };
 
 }  // namespace gingerdrift::net
--- a/src/net/posted_actions.cpp
+++ b/src/net/posted_actions.cpp
@@ -5,10 +5,10 @@
 namespace gingerdrift::net {
 
 posted_actions::posted_actions(uv_loop_t* loop)
-    : wake_(make_async_handle(loop, [](uv_async_t* handle) {
+    : wakeup_handle_(make_async_handle(loop, [](uv_async_t* handle) {
         static_cast<posted_actions*>(handle->data)->run_all();
       })) {
-  wake_->data = this;
+  wakeup_handle_->data = this;
 }
 
 void posted_actions::post(std::function<void()> action) {
@@ -16,7 +16,7 @@
     const std::lock_guard lock(mutex_);
     actions_.push_back(std::move(action));
   }
-  uv_async_send(wake_.get());
+  uv_async_send(wakeup_handle_.get());
 }
 
 void posted_actions::run_all() {
--- a/src/net/posted_actions.hpp
+++ b/src/net/posted_actions.hpp
@@ -8,22 +8,23 @@
 
 namespace gingerdrift::net {
 
-/// Actions that other threads hand to a loop. post() is safe on every thread; all else belongs to
-/// the loop's thread.
+/// Queue of actions that other threads submit to an event loop. post() is thread-safe; everything
+/// else must be used on the event loop's thread.
 class posted_actions {
  public:
   explicit posted_actions(uv_loop_t* loop);
   posted_actions(const posted_actions&) = delete;
   posted_actions& operator=(const posted_actions&) = delete;
 
-  /// Runs `action` on the loop's thread, in the order of the posts.
+  /// Schedules `action` to run on the event loop's thread. Actions run in the order in which they
+  /// were posted.
   void post(std::function<void()> action);
 
  private:
   void run_all();
 
-  handle_ptr<uv_async_t> wake_;
-  std::mutex mutex_;  // guards actions_ only; taken alone
+  handle_ptr<uv_async_t> wakeup_handle_;
+  std::mutex mutex_;  // protects actions_; never held together with another mutex
   std::vector<std::function<void()>> actions_;
 };
 
--- a/src/net/server_connection.cpp
+++ b/src/net/server_connection.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-/// The most that is read at once, and that is kept of a next request.
+/// Maximum number of bytes per read, and of buffered bytes that arrive ahead of a response.
 constexpr std::size_t read_buffer_bytes = std::size_t{8} << 10;
-/// What a client gets to read a last response before the connection is closed.
+/// Time for the client to read its last response before the connection is closed.
 constexpr duration close_delay = seconds(2);
 
 }  // namespace
@@ -36,7 +36,7 @@
 
 void server_connection::on_data(std::string_view bytes) {
   if (state_ == state::handling) {
-    keep_early_bytes(bytes);
+    buffer_pipelined_bytes(bytes);
   } else {
     read_request(bytes);
   }
@@ -44,54 +44,55 @@
 
 void server_connection::on_end() { owner_.on_end(*this); }
 
-void server_connection::enter(state next) {
+void server_connection::enter_state(state next) {
   state_ = next;
   state_since_ = runtime_.now();
 }
 
-void server_connection::keep_early_bytes(std::string_view bytes) {
-  // Requests are handled one at a time: a little early data is kept, a flood is cut off.
-  if (early_bytes_.size() + bytes.size() > read_buffer_bytes) {
+void server_connection::buffer_pipelined_bytes(std::string_view bytes) {
+  // Requests are handled one at a time. Pipelined data is buffered up to a limit; a client that
+  // sends more is disconnected.
+  if (pipelined_bytes_.size() + bytes.size() > read_buffer_bytes) {
     owner_.on_end(*this);
     return;
   }
-  early_bytes_.append(bytes);
+  pipelined_bytes_.append(bytes);
 }
 
 void server_connection::read_request(std::string_view bytes) {
-  if (state_ != state::reading) enter(state::reading);
+  if (state_ != state::reading) enter_state(state::reading);
   const parse_result parsed = parser_.parse(bytes);
   switch (parsed.state) {
     case parse_state::incomplete:
       return;
     case parse_state::complete:
-      if (parsed.consumed < bytes.size()) early_bytes_ = bytes.substr(parsed.consumed);
-      hand_over_request();
+      if (parsed.consumed < bytes.size()) pipelined_bytes_ = bytes.substr(parsed.consumed);
+      dispatch_request();
       return;
     case parse_state::body_too_large:
-      refuse(R"({"error":"body over 64 KiB"})");
+      reject_request(R"({"error":"body over 64 KiB"})");
       return;
     case parse_state::malformed:
-      refuse(R"({"error":"malformed HTTP"})");
+      reject_request(R"({"error":"malformed HTTP"})");
       return;
   }
 }
 
-void server_connection::hand_over_request() {
-  enter(state::handling);
+void server_connection::dispatch_request() {
+  enter_state(state::handling);
   const request message = parser_.take_request();
   owner_.on_request(*this, message);
 }
 
-void server_connection::refuse(std::string body) {
-  enter(state::handling);
+void server_connection::reject_request(std::string body) {
+  enter_state(state::handling);
   response result;
   result.status = 400;
   result.body = std::move(body);
-  answer(result, connection_persistence::close);
+  send_response(result, connection_persistence::close);
 }
 
-void server_connection::answer(const response& result, connection_persistence persistence) {
+void server_connection::send_response(const response& result, connection_persistence persistence) {
   const bool close = result.close || persistence == connection_persistence::close ||
                      parser_.persistence() == connection_persistence::close;
   const auto effective = close ? connection_persistence::close : connection_persistence::keep_alive;
@@ -104,8 +105,8 @@
     close_after_writing();
     return;
   }
-  enter(state::idle);
-  if (!early_bytes_.empty()) read_request(std::exchange(early_bytes_, {}));
+  enter_state(state::idle);
+  if (!pipelined_bytes_.empty()) read_request(std::exchange(pipelined_bytes_, {}));
 }
 
 bool server_connection::write(const std::string& bytes) {
@@ -117,7 +118,8 @@
 
 void server_connection::close_after_writing() {
   stream_.shut_down();
-  // Idle since so long that it is closed soon, and is the first to make room.
+  // The idle time is set so that the connection is closed after close_delay, and before other idle
+  // ones if the connection limit is reached.
   state_ = state::idle;
   state_since_ = runtime_.now() - limits_.idle_timeout + close_delay;
 }
@@ -127,7 +129,7 @@
   return state_since_;
 }
 
-bool server_connection::overdue(time_point now) const {
+bool server_connection::is_overdue(time_point now) const {
   const duration age = now - state_since_;
   switch (state_) {
     case state::awaiting_first_byte:
@@ -137,7 +139,7 @@
     case state::reading:
       return age > limits_.request_timeout;
     case state::handling:
-      return false;  // the handler replies within a deadline of its own
+      return false;  // the handler enforces its own deadline
   }
   return false;
 }
--- a/src/net/server_connection.hpp
+++ b/src/net/server_connection.hpp
@@ -16,57 +16,62 @@
 
 namespace gingerdrift::net {
 
-/// A connection of an HTTP server: reads requests and writes responses in turn. Its destruction
-/// closes it. Belongs to the loop's thread.
+/// Server side of an HTTP connection. Reads a request, writes its response, and then reads the next
+/// request. The destructor closes the connection. Must be used on the event loop's thread.
 class server_connection final : private tcp_stream::observer {
  public:
   /// Identifies a connection among those of its server.
   using id_type = std::uint64_t;
 
-  /// Told of the connection's events. Each call may destroy the connection.
+  /// Receives the connection's events. Each of these functions may destroy the connection.
   class observer {
    public:
-    /// A request, to be answered by answer(), now or later. It lives as long as the call.
+    /// Called with a request, which must be answered by send_response(), during this call or later.
+    /// `message` is valid only during the call.
     virtual void on_request(server_connection& connection, const request& message) = 0;
-    /// The client has closed the connection, broke it, or sent more than it may.
+    /// Called when the client has closed the connection, the connection has failed, or the client
+    /// has sent too many bytes ahead of a response.
     virtual void on_end(server_connection& connection) = 0;
 
    protected:
     ~observer() = default;
   };
 
-  /// A connection that is still to be accepted. All references must outlive it.
+  /// Creates a connection that is not yet accepted; see accept(). `runtime`, `limits` and `owner`
+  /// must outlive it. `owner` receives its events.
   server_connection(id_type id, uv_runtime& runtime, const server_limits& limits, observer& owner);
   server_connection(const server_connection&) = delete;
   server_connection& operator=(const server_connection&) = delete;
 
   id_type id() const { return id_; }
-  /// Takes over a connection that waits at the listener.
+  /// Accepts a pending connection of `listener`.
   std::optional<uv_error> accept(tcp_listener& listener);
-  /// Expects the first request.
+  /// Starts to read requests.
   void start();
-  /// Whether a request was handed over that has no answer yet.
-  bool awaits_answer() const { return state_ == state::handling; }
-  /// Answers the request that was handed over. The connection ends if the server, the client or the
-  /// response want it to, and the owner may be told of the next request or of the end.
-  void answer(const response& result, connection_persistence persistence);
-  /// Since when nothing is going on; nothing while a request is read or handled.
+  /// Reports whether the owner has been given a request that it has not yet answered.
+  bool awaits_response() const { return state_ == state::handling; }
+  /// Sends the response to the request that the owner was given. Afterwards the connection is
+  /// closed if `persistence`, the client or `result` says so. May call the owner with the next
+  /// request or with the end of the connection.
+  void send_response(const response& result, connection_persistence persistence);
+  /// Returns the time at which the connection started to wait for the first byte of a request;
+  /// nullopt while a request is being read or handled.
   std::optional<time_point> idle_since() const;
-  /// Whether the client has let the deadline of the current state pass.
-  bool overdue(time_point now) const;
+  /// Reports whether the client has missed the deadline of the current state.
+  bool is_overdue(time_point now) const;
 
  private:
-  /// What the connection waits for. Each but handling has a deadline.
+  /// What the connection waits for. Every state except `handling` has a deadline.
   enum class state { awaiting_first_byte, idle, reading, handling };
 
   void on_data(std::string_view bytes) override;
   void on_end() override;
-  void enter(state next);
-  void keep_early_bytes(std::string_view bytes);
+  void enter_state(state next);
+  void buffer_pipelined_bytes(std::string_view bytes);
   void read_request(std::string_view bytes);
-  void hand_over_request();
-  void refuse(std::string body);
-  /// False when the connection is broken.
+  void dispatch_request();
+  void reject_request(std::string body);
+  /// Writes now or queues `bytes`. Returns false if the connection is broken.
   [[nodiscard]] bool write(const std::string& bytes);
   void close_after_writing();
 
@@ -77,7 +82,8 @@
   state state_ = state::awaiting_first_byte;
   time_point state_since_;
   request_parser parser_;
-  std::string early_bytes_;  // of the next request, sent before the answer to this one
+  // Bytes that arrived after the current request and before its response was sent.
+  std::string pipelined_bytes_;
   tcp_stream stream_;
 };
 
--- a/src/net/tcp_stream.cpp
+++ b/src/net/tcp_stream.cpp
@@ -7,19 +7,20 @@
 
 namespace {
 
-/// A pending uv_tcp_connect(); libuv holds it until its callback.
+/// A pending uv_tcp_connect(). Must exist until libuv runs its callback.
 struct connect_request {
   uv_connect_t request{};
   tcp_stream::connect_fn done;
 };
 
-/// A pending uv_write() and the bytes that it reads from.
+/// A pending uv_write() and the bytes that it writes. Must exist until libuv runs its callback.
 struct write_request {
   uv_write_t request{};
   std::string bytes;
 };
 
-/// The caller keeps the bytes; libuv only reads them, although its type says otherwise.
+/// Returns a buffer that refers to `bytes`, which must outlive its use. The const_cast is safe
+/// because libuv only reads the buffers of writes.
 uv_buf_t buffer_of(std::string_view bytes) {
   return uv_buf_init(const_cast<char*>(bytes.data()), static_cast<unsigned>(bytes.size()));
 }
@@ -34,7 +35,7 @@
 void tcp_stream::disable_send_delay() { uv_tcp_nodelay(handle_.get(), 1); }
 
 std::optional<uv_error> tcp_stream::connect(const sockaddr_in& server, connect_fn done) {
-  // The callback of a cancelled request comes after the stream is gone.
+  // Guarded, as libuv runs the callback of a cancelled request after the stream is destroyed.
   auto* const pending = new connect_request{{}, guard_.wrap(std::move(done))};
   pending->request.data = pending;
   const int status =
@@ -65,7 +66,7 @@
 }
 
 void tcp_stream::on_read(ssize_t count) {
-  if (count == 0) return;  // nothing to read after all
+  if (count == 0) return;  // libuv reports that no data is available (EAGAIN)
   if (count < 0) {
     owner_.on_end();
   } else {
--- a/src/net/tcp_stream.hpp
+++ b/src/net/tcp_stream.hpp
@@ -15,43 +15,46 @@
 
 namespace gingerdrift::net {
 
-/// A TCP connection. Its destruction closes the socket, drops what is still queued, and ends all
-/// callbacks. Belongs to the loop's thread.
+/// A TCP connection. The destructor closes the socket and discards queued writes; no callback runs
+/// after it. Must be used on the event loop's thread.
 class tcp_stream {
  public:
-  /// Told what is read. Each call may destroy the stream.
+  /// Receives what is read. Each of these functions may destroy the stream.
   class observer {
    public:
-    /// Bytes arrived; they are valid until the stream is destroyed or reads again.
+    /// Called with received bytes, which are valid until the stream is destroyed or reads again.
     virtual void on_data(std::string_view bytes) = 0;
-    /// The other side has closed the connection, or it broke.
+    /// Called when the peer has closed the connection or the connection has failed.
     virtual void on_end() = 0;
 
    protected:
     ~observer() = default;
   };
-  /// Takes the outcome of connect(): nothing when the connection stands.
+  /// Receives the outcome of connect(): nullopt once the connection is established.
   using connect_fn = std::function<void(std::optional<uv_error>)>;
 
-  /// Reads at most `read_buffer_bytes` at once. The owner must outlive the stream.
+  /// Creates a stream that is not connected yet. Each read returns at most `read_buffer_bytes`.
+  /// `owner` must outlive the stream.
   tcp_stream(uv_loop_t* loop, std::size_t read_buffer_bytes, observer& owner);
   tcp_stream(const tcp_stream&) = delete;
   tcp_stream& operator=(const tcp_stream&) = delete;
 
-  /// Sends small packets at once (TCP_NODELAY).
+  /// Disables the delay of small packets by Nagle's algorithm (TCP_NODELAY).
   void disable_send_delay();
-  /// Connects to a server. `done` may destroy the stream; it never runs when an error is returned.
+  /// Starts to connect to `server`. Returns an error that occurs immediately; `done` then never
+  /// runs. `done` may destroy the stream.
   std::optional<uv_error> connect(const sockaddr_in& server, connect_fn done);
-  /// Takes over a connection that waits at the listener.
+  /// Accepts a pending connection of `listener`.
   std::optional<uv_error> accept(tcp_listener& listener);
-  /// Passes all that arrives to the owner from now on.
+  /// Starts to pass all received bytes to the owner.
   void start_reading();
-  /// Writes what the socket takes at once and returns the number of bytes, 0 when it would block;
-  /// nothing when the connection is broken.
+  /// Writes as much as the socket accepts without blocking. Returns the number of bytes written,
+  /// which is 0 if the socket would block; nullopt if the connection is broken.
   std::optional<std::size_t> try_write(std::string_view bytes);
-  /// Writes when the socket is ready. A failure shows as the end of the stream, if at all.
+  /// Writes `bytes` once the socket is ready. A failure is reported only as the end of the stream,
+  /// and not always.
   void queue_write(std::string bytes);
-  /// Ends the sending direction once all that is queued has been written.
+  /// Shuts down the sending direction once all queued writes have completed.
   void shut_down();
 
  private:
--- a/src/net/timer.hpp
+++ b/src/net/timer.hpp
@@ -8,8 +8,8 @@
 
 namespace gingerdrift::net {
 
-/// A timer of a runtime that cancels itself when it is destroyed. One action is due at most; a new
-/// one replaces it. Belongs to the thread of the runtime.
+/// A timer of a runtime that is cancelled by its destructor. At most one action is pending;
+/// starting the timer again replaces it. Must be used on the runtime's thread.
 class timer {
  public:
   explicit timer(runtime& runtime) : runtime_(runtime) {}
@@ -17,7 +17,7 @@
   timer(const timer&) = delete;
   timer& operator=(const timer&) = delete;
 
-  /// Runs `action` once `delay` is over; the action may start the timer again.
+  /// Runs `action` after `delay`. The action may start the timer again.
   void start(duration delay, std::function<void()> action) {
     cancel();
     id_ = runtime_.after(delay, [this, action = std::move(action)] {
@@ -25,16 +25,16 @@
       action();
     });
   }
-  /// Drops the action that is due, if any.
+  /// Cancels the pending action, if any.
   void cancel() {
     if (id_) runtime_.cancel(*std::exchange(id_, std::nullopt));
   }
-  /// Whether an action is due.
+  /// Reports whether an action is pending.
   bool armed() const { return id_.has_value(); }
 
  private:
   runtime& runtime_;
-  std::optional<timer_id> id_;  // of the action that is due
+  std::optional<timer_id> id_;  // identifies the pending action
 };
 
 }  // namespace gingerdrift::net
--- a/src/net/timer_queue.cpp
+++ b/src/net/timer_queue.cpp
@@ -13,22 +13,23 @@
   const timer_id id = next_id_++;
   const auto added = schedule_.emplace(now() + delay, entry{.id = id, .action = std::move(action)});
   entries_.emplace(id, added);
-  if (added == schedule_.begin()) arm();
+  if (added == schedule_.begin()) arm_timer();
   return id;
 }
 
 void timer_queue::cancel(timer_id id) {
   const auto found = entries_.find(id);
   if (found == entries_.end()) return;
-  // The libuv timer may be early now; run_due() then finds nothing and arms it again.
+  // If this timer was the next one due, the libuv timer now fires too early. run_due() then finds
+  // no due action and rearms it.
   schedule_.erase(found->second);
   entries_.erase(found);
 }
 
-void timer_queue::arm() {
+void timer_queue::arm_timer() {
   if (schedule_.empty()) return;
   const auto delay = std::chrono::ceil<milliseconds>(schedule_.begin()->first - now());
-  // libuv counts from the start of the loop's turn, which may be a while ago.
+  // libuv measures delays from the start of the loop iteration, which may lie well in the past.
   uv_update_time(handle_->loop);
   uv_timer_start(
       handle_.get(), [](uv_timer_t* handle) { static_cast<timer_queue*>(handle->data)->run_due(); },
@@ -42,7 +43,7 @@
     entries_.erase(due.mapped().id);
     due.mapped().action();
   }
-  arm();
+  arm_timer();
 }
 
 }  // namespace gingerdrift::net
--- a/src/net/uv_handle.hpp
+++ b/src/net/uv_handle.hpp
@@ -6,8 +6,9 @@
 
 namespace gingerdrift::net {
 
-/// Closes a libuv handle; the memory is freed once libuv has let go of it, on a later turn of the
-/// loop. Callbacks of the handle's own events end with the close, those of requests still come.
+/// Closes a libuv handle. libuv still uses the memory until a later loop iteration, in which it is
+/// freed. After the close, callbacks for the handle's own events no longer run, but callbacks of
+/// pending requests still do.
 template <typename handle>
 struct handle_closer {
   void operator()(handle* owned) const {
@@ -16,25 +17,27 @@
   }
 };
 
-/// Owns an initialized libuv handle. Belongs to the loop's thread, and must go before the loop.
+/// Owns an initialized libuv handle. Must be used on the event loop's thread and destroyed before
+/// the loop.
 template <typename handle>
 using handle_ptr = std::unique_ptr<handle, handle_closer<handle>>;
 
-/// A TCP handle without a socket.
+/// Creates a TCP handle without a socket.
 inline handle_ptr<uv_tcp_t> make_tcp_handle(uv_loop_t* loop) {
   auto tcp = std::make_unique<uv_tcp_t>();
   uv_tcp_init(loop, tcp.get());
   return handle_ptr<uv_tcp_t>(tcp.release());
 }
 
-/// A timer handle that is not started.
+/// Creates a timer handle that is not started.
 inline handle_ptr<uv_timer_t> make_timer_handle(uv_loop_t* loop) {
   auto timer = std::make_unique<uv_timer_t>();
   uv_timer_init(loop, timer.get());
   return handle_ptr<uv_timer_t>(timer.release());
 }
 
-/// A handle that other threads can wake the loop with; `wake` runs on the loop's thread.
+/// Creates a handle by which other threads can wake the loop. `wake` then runs on the loop's
+/// thread.
 inline handle_ptr<uv_async_t> make_async_handle(uv_loop_t* loop, uv_async_cb wake) {
   auto async = std::make_unique<uv_async_t>();
   uv_async_init(loop, async.get(), wake);
--- a/src/net/uv_runtime.cpp
+++ b/src/net/uv_runtime.cpp
@@ -6,7 +6,7 @@
 namespace gingerdrift::net {
 
 uv_runtime::uv_runtime(const client_limits& limits)
-    : timers_(loop_.get()), posted_(loop_.get()), client_(loop_.get(), timers_, limits) {}
+    : timers_(loop_.get()), posted_actions_(loop_.get()), client_(loop_.get(), timers_, limits) {}
 
 time_point uv_runtime::now() { return timer_queue::now(); }
 
@@ -23,7 +23,7 @@
   client_.call(address, std::move(message), deadline, std::move(done));
 }
 
-void uv_runtime::post(std::function<void()> action) { posted_.post(std::move(action)); }
+void uv_runtime::post(std::function<void()> action) { posted_actions_.post(std::move(action)); }
 
 void uv_runtime::run() { loop_.run(); }
 
--- a/src/net/uv_runtime.hpp
+++ b/src/net/uv_runtime.hpp
@@ -15,8 +15,9 @@
 
 namespace gingerdrift::net {
 
-/// The runtime on libuv: a loop, its timers and an HTTP client. All members but post() belong to
-/// the thread that runs the loop. Whatever uses the loop must be destroyed before.
+/// Implementation of runtime on libuv: an event loop, its timers and an HTTP client. All members
+/// except post() must be used on the thread that runs the loop. All users of the loop must be
+/// destroyed before this object.
 class uv_runtime final : public runtime {
  public:
   explicit uv_runtime(const client_limits& limits);
@@ -27,21 +28,22 @@
   void cancel(timer_id id) override;
   void call(const std::string& address, request message, duration deadline, reply_fn done) override;
 
-  /// Thread-safe: runs the action on the loop's thread.
+  /// Schedules `action` to run on the loop's thread. Thread-safe.
   void post(std::function<void()> action);
-  /// Runs the loop until stop().
+  /// Runs the loop until stop() is called.
   void run();
-  /// Makes run() return after the current turn of the loop.
+  /// Makes run() return after the current loop iteration.
   void stop();
-  /// For servers and other users of libuv.
+  /// Returns the libuv loop, for servers and other direct users of libuv.
   uv_loop_t* loop() { return loop_.get(); }
-  /// Number of connections for outgoing calls, idle ones included.
+  /// Returns the number of connections for outgoing calls, including idle ones.
   std::size_t open_client_connections() const { return client_.open_connections(); }
 
  private:
-  event_loop loop_;  // first, as all others have handles on it
+  // Declared first, and so destroyed last, as all other members have handles on the loop.
+  event_loop loop_;
   timer_queue timers_;
-  posted_actions posted_;
+  posted_actions posted_actions_;
   http_client client_;
 };
 
--- a/tests/http_test.cpp
+++ b/tests/http_test.cpp
@@ -1,5 +1,5 @@
-// The HTTP server and client over real sockets on loopback. No result depends on the machine's
-// speed.
+// Tests the HTTP server and client over real sockets on the loopback interface. No result depends
+// on the speed of the machine.
 #include <gtest/gtest.h>
 #include <sys/socket.h>
 #include <unistd.h>
@@ -16,12 +16,12 @@
 
 namespace {
 
-/// What a test waits at most for something that has to happen.
+/// Maximum time that a test waits for an expected event.
 constexpr seconds test_timeout(20);
 
 net::response ok(std::string body) { return {200, std::move(body), std::nullopt, false}; }
 
-/// A server and the address that it listens on.
+/// A server and the address on which it listens.
 struct listening_server {
   std::unique_ptr<net::http_server> server;
   std::string address;
@@ -31,18 +31,18 @@
                                      const net::handler_fn& handler) {
   for (int port = 20000; port < 60000; port += 37) {
     std::string address = "127.0.0.1:" + std::to_string(port);
-    // Another server each time: one that lost a race for its port stays bound to it.
+    // A new server for each attempt, as one that lost a race for its port remains bound to it.
     auto server = std::make_unique<net::http_server>(runtime, limits, handler);
     if (!server->listen(address)) return {std::move(server), std::move(address)};
   }
   throw std::runtime_error("no free port");
 }
 
-/// Runs the loop until the condition holds, and tells whether it does.
+/// Runs the loop until the condition holds or `test_timeout` has passed. Returns whether it holds.
 bool run_until(net::uv_runtime& runtime, const std::function<bool()>& condition) {
-  const time_point give_up = runtime.now() + test_timeout;
+  const time_point deadline = runtime.now() + test_timeout;
   std::function<void()> poll = [&] {
-    if (condition() || runtime.now() > give_up) return runtime.stop();
+    if (condition() || runtime.now() > deadline) return runtime.stop();
     runtime.after(milliseconds(20), poll);
   };
   poll();
@@ -51,13 +51,14 @@
 }
 
 /// A client and a server on one loop.
-class loopback {
+class http_pair {
  public:
-  loopback(const net::client_limits& client, const net::server_limits& limits,
-           const net::handler_fn& handler)
+  http_pair(const net::client_limits& client, const net::server_limits& limits,
+            const net::handler_fn& handler)
       : runtime(client), listening(listen_on_free_port(runtime, limits, handler)) {}
 
-  net::response ask(net::request message, duration deadline = test_timeout) {
+  /// Sends a request and returns its response.
+  net::response send_request(net::request message, duration deadline = test_timeout) {
     net::response reply;
     runtime.call(address, std::move(message), deadline, [&](const net::response& received) {
       reply = received;
@@ -67,8 +68,8 @@
     return reply;
   }
 
-  /// Calls as often as `count` at once, so that each call gets a connection of its own, and waits
-  /// for the answers.
+  /// Makes `count` concurrent calls, so that each uses a connection of its own, and waits for the
+  /// responses.
   void open_idle_connections(std::size_t count) {
     std::size_t answered = 0;
     for (std::size_t i = 0; i < count; ++i) {
@@ -86,14 +87,14 @@
   const std::string& address = listening.address;
 };
 
-/// What came back on a connection.
+/// The bytes received on a connection, and whether the server closed it.
 struct raw_result {
   std::string received;
   bool closed_by_server = false;
 };
 
 /// Sends bytes on a plain socket, without the client under test, and reads until the server closes
-/// it. The socket belongs to a thread of its own, while this one runs the loop.
+/// the connection. The socket is used on a separate thread while the calling thread runs the loop.
 raw_result send_raw(net::uv_runtime& runtime, const std::string& address, std::string_view bytes) {
   raw_result result;
   std::thread client([&] {
@@ -116,11 +117,12 @@
   return result;
 }
 
-/// A server that answers with what it was asked, except for a few targets, and a client.
-class http : public ::testing::Test, protected loopback {
+/// A client, and a server whose responses repeat the method, target and body size of the request,
+/// except for a few targets with special responses.
+class http : public ::testing::Test, protected http_pair {
  protected:
   http()
-      : loopback({}, small_limits(), [this](const net::request& message, net::reply_fn reply) {
+      : http_pair({}, small_limits(), [this](const net::request& message, net::reply_fn reply) {
           handle(message, std::move(reply));
         }) {}
 
@@ -133,12 +135,12 @@
     return limits;
   }
 
-  int handled = 0;
-  std::vector<net::reply_fn> withheld;  // replies to requests for /withheld
+  int handled_requests = 0;
+  std::vector<net::reply_fn> withheld;  // reply functions of requests for /withheld
 
  private:
   void handle(const net::request& message, net::reply_fn reply) {
-    ++handled;
+    ++handled_requests;
     if (message.target == "/withheld") {
       withheld.push_back(std::move(reply));
       return;
@@ -152,13 +154,13 @@
   }
 };
 
-/// Calls the targets "/1", "/2" and so on at once, over one connection with two places in its
-/// queue, and returns what each came to, in the order of the replies.
-std::vector<std::string> call_at_once(std::size_t calls) {
+/// Concurrently calls the targets "/1", "/2" and so on, with at most one connection and two queued
+/// calls. Returns the outcome of each call, in the order of the replies.
+std::vector<std::string> call_concurrently(std::size_t calls) {
   net::client_limits limits;
-  limits.open_per_address = 1;
-  limits.queued_per_address = 2;
-  loopback site(limits, {}, [](const net::request& message, const net::reply_fn& reply) {
+  limits.connections_per_address = 1;
+  limits.queued_calls_per_address = 2;
+  http_pair pair(limits, {}, [](const net::request& message, const net::reply_fn& reply) {
     reply(ok(message.target));
   });
   std::vector<std::string> replies;
@@ -167,50 +169,50 @@
     const auto on_reply = [&replies, target](const net::response& reply) {
       replies.push_back(reply.status == 200 ? reply.body : target + " refused");
     };
-    site.runtime.call(site.address, {"GET", target, ""}, test_timeout, on_reply);
+    pair.runtime.call(pair.address, {"GET", target, ""}, test_timeout, on_reply);
   }
-  EXPECT_TRUE(run_until(site.runtime, [&] { return replies.size() == calls; }));
-  EXPECT_EQ(site.runtime.open_client_connections(), 1U);
+  EXPECT_TRUE(run_until(pair.runtime, [&] { return replies.size() == calls; }));
+  EXPECT_EQ(pair.runtime.open_client_connections(), 1U);
   return replies;
 }
 
 }  // namespace
 
-TEST_F(http, a_connection_is_used_for_one_request_after_the_other) {
-  EXPECT_EQ(ask({"GET", "/a", ""}).body, "GET /a 0");
-  EXPECT_EQ(ask({"POST", "/b", "hello"}).body, "POST /b 5");
+TEST_F(http, a_connection_is_reused_for_sequential_requests) {
+  EXPECT_EQ(send_request({"GET", "/a", ""}).body, "GET /a 0");
+  EXPECT_EQ(send_request({"POST", "/b", "hello"}).body, "POST /b 5");
   EXPECT_EQ(server.open_connections(), 1U);
 }
 
-TEST_F(http, a_request_after_the_end_of_a_connection_opens_another) {
-  EXPECT_EQ(ask({"GET", "/a", ""}).status, 200);
-  EXPECT_EQ(ask({"GET", "/close", ""}).status, 200);
-  EXPECT_EQ(ask({"GET", "/c", ""}).body, "GET /c 0");
+TEST_F(http, a_request_after_the_connection_closed_opens_a_new_one) {
+  EXPECT_EQ(send_request({"GET", "/a", ""}).status, 200);
+  EXPECT_EQ(send_request({"GET", "/close", ""}).status, 200);
+  EXPECT_EQ(send_request({"GET", "/c", ""}).body, "GET /c 0");
 }
 
-TEST_F(http, a_too_large_body_gets_400_and_reaches_no_handler) {
-  EXPECT_EQ(ask({"POST", "/b", std::string(2000, 'x')}).status, 400);
-  EXPECT_EQ(handled, 0);
+TEST_F(http, a_too_large_body_gets_400_without_calling_the_handler) {
+  EXPECT_EQ(send_request({"POST", "/b", std::string(2000, 'x')}).status, 400);
+  EXPECT_EQ(handled_requests, 0);
 }
 
-TEST_F(http, malformed_http_gets_400_and_reaches_no_handler) {
+TEST_F(http, malformed_http_gets_400_without_calling_the_handler) {
   const raw_result client = send_raw(runtime, address, "no http at all\r\n\r\n");
   EXPECT_TRUE(client.received.starts_with("HTTP/1.1 400")) << client.received;
   EXPECT_TRUE(client.closed_by_server);
-  EXPECT_EQ(handled, 0);
+  EXPECT_EQ(handled_requests, 0);
 }
 
-TEST_F(http, a_silent_connection_is_closed_on_its_deadline) {
+TEST_F(http, a_connection_without_a_request_is_closed_at_its_deadline) {
   EXPECT_TRUE(send_raw(runtime, address, "").closed_by_server);
   EXPECT_EQ(server.open_connections(), 0U);
 }
 
-TEST_F(http, a_half_sent_request_is_closed_on_its_deadline) {
+TEST_F(http, a_connection_with_a_partial_request_is_closed_at_its_deadline) {
   EXPECT_TRUE(send_raw(runtime, address, "POST /b HTTP/1.1\r\nContent-Le").closed_by_server);
   EXPECT_EQ(server.open_connections(), 0U);
 }
 
-TEST_F(http, pipelined_requests_are_answered_one_after_the_other) {
+TEST_F(http, pipelined_requests_are_answered_in_order) {
   const raw_result client =
       send_raw(runtime, address,
                "GET /a HTTP/1.1\r\n\r\nPOST /b HTTP/1.1\r\nContent-Length: 2\r\n\r\nhi"
@@ -222,56 +224,60 @@
             "POST /b 2"
             "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: 12\r\n"
             "Connection: close\r\n\r\nGET /close 0");
-  EXPECT_EQ(handled, 3);
+  EXPECT_EQ(handled_requests, 3);
 }
 
-TEST_F(http, more_early_bytes_than_a_buffer_end_the_connection) {
-  constexpr std::size_t early_bytes = 8192;  // kept by the server behind a request
-  const raw_result client = send_raw(
-      runtime, address, "GET /withheld HTTP/1.1\r\n\r\n" + std::string(early_bytes + 1, 'x'));
+TEST_F(http, too_many_pipelined_bytes_close_the_connection) {
+  constexpr std::size_t max_pipelined_bytes = 8192;  // that the server buffers after a request
+  const raw_result client =
+      send_raw(runtime, address,
+               "GET /withheld HTTP/1.1\r\n\r\n" + std::string(max_pipelined_bytes + 1, 'x'));
   EXPECT_TRUE(client.closed_by_server);
   EXPECT_EQ(client.received, "");
   EXPECT_EQ(server.open_connections(), 0U);
 }
 
-TEST_F(http, a_deadline_ends_the_call_and_its_connection) {
-  EXPECT_EQ(ask({"GET", "/withheld", ""}, milliseconds(50)).status, 0);
+TEST_F(http, a_call_past_its_deadline_fails_and_its_connection_is_closed) {
+  EXPECT_EQ(send_request({"GET", "/withheld", ""}, milliseconds(50)).status, 0);
   EXPECT_EQ(runtime.open_client_connections(), 0U);
   EXPECT_TRUE(run_until(runtime, [&] { return server.open_connections() == 0; }));
 }
 
-TEST_F(http, a_reply_after_the_end_of_its_connection_does_nothing) {
-  EXPECT_EQ(ask({"GET", "/withheld", ""}, milliseconds(50)).status, 0);
+TEST_F(http, a_reply_after_its_connection_closed_is_dropped) {
+  EXPECT_EQ(send_request({"GET", "/withheld", ""}, milliseconds(50)).status, 0);
   ASSERT_TRUE(run_until(runtime, [&] { return server.open_connections() == 0; }));
   withheld.at(0)(ok("too late"));
-  EXPECT_EQ(ask({"GET", "/a", ""}).body, "GET /a 0");
+  EXPECT_EQ(send_request({"GET", "/a", ""}).body, "GET /a 0");
 }
 
-TEST_F(http, retry_after_reaches_the_caller) {
-  EXPECT_EQ(ask({"GET", "/retry", ""}).retry_after, seconds(7));
-  EXPECT_EQ(ask({"GET", "/a", ""}).retry_after, std::nullopt) << "nothing is left of the last one";
+TEST_F(http, retry_after_is_passed_to_the_caller) {
+  EXPECT_EQ(send_request({"GET", "/retry", ""}).retry_after, seconds(7));
+  EXPECT_EQ(send_request({"GET", "/a", ""}).retry_after, std::nullopt)
+      << "the value of the previous response must not be kept";
 }
 
-TEST_F(http, a_response_over_the_limit_of_the_client_is_no_answer) {
+TEST_F(http, a_response_body_over_the_limit_of_the_client_fails_the_call) {
   const std::size_t limit = net::client_limits{}.response_body_bytes;
-  EXPECT_EQ(ask({"POST", "/large", std::to_string(limit)}).body.size(), limit);
-  EXPECT_EQ(ask({"POST", "/large", std::to_string(limit + 1)}).status, 0);
+  EXPECT_EQ(send_request({"POST", "/large", std::to_string(limit)}).body.size(), limit);
+  EXPECT_EQ(send_request({"POST", "/large", std::to_string(limit + 1)}).status, 0);
 }
 
-TEST_F(http, near_the_limit_a_connection_ends_with_its_answer_and_idle_ones_stay) {
+TEST_F(http,
+       near_the_connection_limit_a_connection_is_closed_after_its_response_and_idle_ones_stay) {
   constexpr std::size_t idle = 3;
   open_idle_connections(idle);
-  ASSERT_EQ(server.open_connections(), idle) << "of four: not near the limit yet";
+  ASSERT_EQ(server.open_connections(), idle)
+      << "three of at most four connections are not near the limit";
 
   const raw_result last = send_raw(runtime, address, "GET /x HTTP/1.1\r\n\r\n");
 
-  EXPECT_TRUE(last.received.starts_with("HTTP/1.1 200")) << "it is answered";
+  EXPECT_TRUE(last.received.starts_with("HTTP/1.1 200")) << "the request must get a response";
   EXPECT_NE(last.received.find("Connection: close"), std::string::npos);
   EXPECT_TRUE(last.closed_by_server);
   EXPECT_EQ(server.open_connections(), idle);
 }
 
-TEST_F(http, at_the_limit_without_an_idle_connection_a_new_one_is_closed) {
+TEST_F(http, at_the_connection_limit_without_an_idle_connection_a_new_one_is_closed) {
   for (std::size_t i = 0; i < small_limits().connections; ++i) {
     runtime.call(address, {"GET", "/withheld", ""}, test_timeout, [](const net::response&) {});
   }
@@ -284,7 +290,7 @@
   EXPECT_EQ(server.open_connections(), small_limits().connections);
 }
 
-TEST_F(http, a_reply_after_the_end_of_the_server_does_nothing) {
+TEST_F(http, a_reply_after_the_server_was_destroyed_is_dropped) {
   auto short_lived = listen_on_free_port(
       runtime, {},
       [&](const net::request&, const net::reply_fn& reply) { withheld.push_back(reply); });
@@ -298,22 +304,23 @@
   EXPECT_EQ(reply->status, 0);
 }
 
-TEST(http_server, at_the_limit_an_idle_connection_makes_room) {
+TEST(http_server, at_the_connection_limit_an_idle_connection_is_closed_for_a_new_one) {
   net::server_limits limits;
   limits.connections = 2;
   limits.keep_alive_share = 1;
-  loopback site({}, limits, [](const net::request&, const net::reply_fn& reply) { reply(ok("")); });
-  site.open_idle_connections(2);
-  ASSERT_EQ(site.server.open_connections(), 2U);
+  http_pair pair({}, limits,
+                 [](const net::request&, const net::reply_fn& reply) { reply(ok("")); });
+  pair.open_idle_connections(2);
+  ASSERT_EQ(pair.server.open_connections(), 2U);
 
   const raw_result last =
-      send_raw(site.runtime, site.address, "GET / HTTP/1.1\r\nConnection: close\r\n\r\n");
+      send_raw(pair.runtime, pair.address, "GET / HTTP/1.1\r\nConnection: close\r\n\r\n");
 
   EXPECT_TRUE(last.received.starts_with("HTTP/1.1 200")) << last.received;
-  EXPECT_TRUE(run_until(site.runtime, [&] { return site.runtime.open_client_connections() == 1; }));
+  EXPECT_TRUE(run_until(pair.runtime, [&] { return pair.runtime.open_client_connections() == 1; }));
 }
 
-TEST(http_server, a_text_that_is_no_address_is_an_error_that_names_it) {
+TEST(http_server, listening_on_an_invalid_address_returns_an_error_that_names_it) {
   net::uv_runtime runtime({});
   net::http_server server(runtime, {}, [](const net::request&, const net::reply_fn&) {});
   const auto error = server.listen("localhost:8080");
@@ -321,7 +328,7 @@
   EXPECT_EQ(error->message(), "not an address: localhost:8080");
 }
 
-TEST(http_server, an_address_in_use_is_an_error_that_names_it) {
+TEST(http_server, listening_on_an_address_in_use_returns_an_error_that_names_it) {
   net::uv_runtime runtime({});
   const net::handler_fn handler = [](const net::request&, const net::reply_fn&) {};
   const auto first = listen_on_free_port(runtime, {}, handler);
@@ -331,25 +338,26 @@
   EXPECT_EQ(error->message(), first.address + ": address already in use");
 }
 
-TEST(http_client, unused_connections_are_closed) {
+TEST(http_client, idle_connections_are_closed_after_the_timeout) {
   net::client_limits limits;
   limits.idle_timeout = milliseconds(100);
-  loopback site(limits, {}, [](const net::request&, const net::reply_fn& reply) { reply(ok("")); });
-  site.ask({"GET", "/", ""});
-  EXPECT_EQ(site.runtime.open_client_connections(), 1U);
-  EXPECT_TRUE(run_until(site.runtime, [&] { return site.runtime.open_client_connections() == 0; }));
-  EXPECT_EQ(site.runtime.open_client_connections(), 0U);
+  http_pair pair(limits, {},
+                 [](const net::request&, const net::reply_fn& reply) { reply(ok("")); });
+  pair.send_request({"GET", "/", ""});
+  EXPECT_EQ(pair.runtime.open_client_connections(), 1U);
+  EXPECT_TRUE(run_until(pair.runtime, [&] { return pair.runtime.open_client_connections() == 0; }));
+  EXPECT_EQ(pair.runtime.open_client_connections(), 0U);
 }
 
-TEST(http_client, calls_to_a_full_address_wait_their_turn) {
-  EXPECT_EQ(call_at_once(3), (std::vector<std::string>{"/1", "/2", "/3"}));
+TEST(http_client, calls_beyond_the_connection_limit_of_an_address_are_queued) {
+  EXPECT_EQ(call_concurrently(3), (std::vector<std::string>{"/1", "/2", "/3"}));
 }
 
-TEST(http_client, a_call_beyond_the_queue_of_its_address_is_refused_before_the_others_end) {
-  EXPECT_EQ(call_at_once(4), (std::vector<std::string>{"/4 refused", "/1", "/2", "/3"}));
+TEST(http_client, a_call_is_refused_before_the_others_end_when_the_queue_of_its_address_is_full) {
+  EXPECT_EQ(call_concurrently(4), (std::vector<std::string>{"/4 refused", "/1", "/2", "/3"}));
 }
 
-TEST(http_client, a_call_that_nobody_answers_ends_without_a_status) {
+TEST(http_client, a_call_to_an_address_without_a_server_gets_status_0) {
   net::uv_runtime runtime({});
   std::optional<net::response> reply;
   runtime.call("127.0.0.1:1", {"GET", "/", ""}, seconds(5),
