--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -37,7 +37,7 @@
 
 net::client_limits outgoing_call_limits(const config::connection_budget& connections) {
   net::client_limits limits;
-  limits.open_total = connections.calls;
+  limits.connections_total = connections.calls;
   return limits;
 }
 
@@ -52,7 +52,7 @@
   net::server_limits limits;
   limits.connections = connections.peers;
   limits.backlog = connections.peer_backlog;
-  limits.body_bytes = max_peer_message_bytes;
+  limits.request_body_bytes = max_peer_message_bytes;
   return limits;
 }
 
--- a/src/kvstore/request_budget.hpp
+++ b/src/kvstore/request_budget.hpp
@@ -3,8 +3,8 @@
 #include <cstdint>
 #include <optional>
 
-#include "base/rate_budget.hpp"
 #include "base/time.hpp"
+#include "base/token_bucket.hpp"
 #include "kvstore/limits.hpp"
 
 namespace gingerdrift::kvstore {
@@ -34,7 +34,7 @@
   /// ordinary and exceeds the budget.
   bool reserve(time_point now, double writes, request_urgency urgency);
   /// Reserves one request of the budget for users. Returns false if that budget is used up.
-  bool reserve_for_user(time_point now) { return user_requests_.take(now); }
+  bool reserve_for_user(time_point now) { return user_requests_.try_take(now); }
   /// Reports whether at least half of the requests of one second are left, so that requests that
   /// can wait may be sent.
   bool has_spare_requests(time_point now);
@@ -56,9 +56,9 @@
   std::optional<service_limits> announced_;
   limit_shares shares_;
   time_point announced_rates_until_{};  // time until which the announced rates are in use
-  rate_budget requests_;
-  rate_budget writes_;
-  rate_budget user_requests_;
+  token_bucket requests_;
+  token_bucket writes_;
+  token_bucket user_requests_;
 };
 
 }  // namespace gingerdrift::kvstore
