--- a/cmake/former_version.cmake
+++ b/cmake/former_version.cmake
@@ -1,8 +1,8 @@
-# Builds a former version of the service from the repository's history, under a namespace of its own,
-# so that tests can run it beside the present one (tests/former).
+# Builds a former version of the service from the repository's history as a library. The library has a
+# namespace of its own, so that tests can run the former version beside the present one (tests/former).
 #
-# NAME is the function in tests/former/former_version.hpp that gives access to it; COMMIT is its full
-# hash. A commit that is missing or unknown ends the configuration.
+# NAME: the function in tests/former/former_version.hpp that returns the former version.
+# COMMIT: the full hash of its commit. A missing or unknown commit is a fatal configuration error.
 function(add_former_version NAME COMMIT)
   if(NOT COMMIT MATCHES "^[0-9a-f]+$")
     message(FATAL_ERROR "former version ${NAME}: '${COMMIT}' is not the hash of a commit")
