--- a/tests/support/answer_rules.hpp
+++ b/tests/support/answer_rules.hpp
@@ -8,9 +8,11 @@
 
 namespace gingerdrift::testing {
 
-/// The rules about what users are told: no state is older than one that they had before their
-/// request, and no job is called cancelled that nobody cancelled ("went_back"); no job is called
-/// done that is not ("not_done"), and none waits for a job that was cancelled ("orphaned").
+/// Checks the job states that controllers return to users. A returned state is never older than a
+/// state received before the request was sent, and a job is reported as cancelled only if a user
+/// requested its cancellation or that of an ancestor ("went_back"). A job is reported as done only
+/// if it is done ("not_done"). No job remains queued or running after a job that it depends on was
+/// cancelled ("orphaned").
 class answer_rules final : public answer_observer {
  public:
   answer_rules(site_context& context, const sim_fleet& fleet, const sim_users& users,
@@ -18,11 +20,12 @@
       : context_(context), fleet_(fleet), users_(users), history_(history) {}
 
   void state_received(const state_answer& answer) override;
-  /// At the end of a scenario: a job that its user did not cancel may be cancelled only where one
-  /// that it depends on is.
+  /// Checks, at the end of a scenario, that each cancelled job was either cancelled by its user or
+  /// has a cancelled ancestor.
   void check_cancelled_jobs();
-  /// How a job ended according to the state service: `done`, `cancelled`, or
-  /// empty. Not checked while it is unset.
+  /// Returns the final state of a job according to the state service: `done`, `cancelled`, or an
+  /// empty string if none is stored. The comparison with the stored state is skipped while this
+  /// function is unset.
   std::function<std::string(const std::string& job)> stored_final_state;
 
  private:
--- a/tests/support/fault_injector.hpp
+++ b/tests/support/fault_injector.hpp
@@ -9,17 +9,17 @@
 
 namespace gingerdrift::testing {
 
-/// The limits that a line states; what it leaves out has a usual value.
+/// Returns the state service limits that a line gives; omitted ones have default values.
 kvstore::service_limits limits_of(const trace_line& line);
 
-/// Brings about what the lines `at SECONDS VERB …` of a scenario demand: faults
-/// of controllers, links, state service and machines, and what users do in the
-/// worst moment.
+/// Executes the lines `at SECONDS VERB …` of a scenario: faults of controllers, links, the state
+/// service and machines, and user requests at critical moments.
 class fault_injector {
  public:
   fault_injector(sim_service& service, const leader_tracker& leaders)
       : service_(service), leaders_(leaders) {}
-  /// Throws std::invalid_argument if the verb is unknown.
+  /// Injects the fault of a line at the current time. Throws std::invalid_argument if the verb is
+  /// unknown.
   void inject(const trace_line& line);
 
  private:
@@ -51,19 +51,23 @@
   void cancel_as_jobs_end(const trace_line& line);
   void send_unexpected_requests(const trace_line& line);
 
-  /// The controllers that a word stands for: `leader` (the last one),
-  /// `follower`, `all`, or a name.
+  /// Returns the indexes of the controllers that a word selects: `leader` (the most recent one),
+  /// `follower` (the first controller that is not the leader), `all`, or a host name.
   std::vector<std::size_t> controllers_of(const std::string& word) const;
+  /// Returns all controllers in the given order: `number`, `backwards`, `leader_first` or
+  /// `leader_last`.
   std::vector<std::size_t> upgrade_order(const std::string& name) const;
-  /// Cuts a controller from a group of others: `state`, `cloud`, `users`,
-  /// `workers` or `peers`.
+  /// Cuts the links between a controller and a group of hosts: `state`, `cloud`, `users`, `workers`
+  /// or `peers`.
   void cut_controller(std::size_t node, const std::string& group, duration span,
                       sim_net::cut_mode mode);
+  /// Cuts the links between all hosts of the line's zone and all other controllers and machines, as
+  /// well as the hosts in `outside`.
   void cut_zone_from(const trace_line& line, std::vector<std::string> outside);
-  /// The machines that are up, those with tasks first; of one zone if the line
-  /// names it.
+  /// Returns the machines that are up, those with tasks first, up to the number that the line
+  /// gives; only those of one zone if the line names it.
   std::vector<sim_machine*> machines_of(const trace_line& line) const;
-  /// The same, counted as the fact "machines_VERB".
+  /// Returns `machines_of(line)` and adds their number to the event count "machines_VERB".
   std::vector<sim_machine*> affected_machines(const trace_line& line);
 
   sim_service& service_;
--- a/tests/support/json.hpp
+++ b/tests/support/json.hpp
@@ -8,7 +8,7 @@
 
 using json = nlohmann::json;
 
-/// A response with a JSON body.
+/// Returns a response with a JSON body.
 inline net::response json_response(int status, const json& body) {
   return {.status = status, .body = body.dump(), .retry_after = {}};
 }
--- a/tests/support/leader_tracker.hpp
+++ b/tests/support/leader_tracker.hpp
@@ -6,12 +6,13 @@
 
 namespace gingerdrift::testing {
 
-/// Follows from the outside which controller leads, and counts changes as the
-/// fact "leader_changes".
+/// Polls the controllers in virtual time for the current leader and counts leader changes in the
+/// event count "leader_changes".
 class leader_tracker {
  public:
   explicit leader_tracker(sim_service& service) : service_(service) { check(); }
-  /// The controller that led last, also while none does.
+  /// Returns the most recent leader, even if there is none at present; empty before the first
+  /// election.
   const std::optional<std::size_t>& last_leader() const { return last_leader_; }
 
  private:
--- a/tests/support/machine_rules.hpp
+++ b/tests/support/machine_rules.hpp
@@ -7,9 +7,10 @@
 
 namespace gingerdrift::testing {
 
-/// The rules about what machines run: no task runs twice ("ran_twice"), where it may not
-/// ("wrong_place"), before its dependencies are done ("too_early"), beyond its team's limit
-/// ("quota"), or after its cancellation ("ran_cancelled").
+/// Checks the tasks that machines execute: no task runs on two machines at once ("ran_twice"), on a
+/// machine that violates its placement constraints ("wrong_place"), before its dependencies are
+/// done ("too_early"), above the GPU limit of its team ("quota"), or too long after its
+/// cancellation ("ran_cancelled").
 class machine_rules final : public machine_observer {
  public:
   machine_rules(site_context& context, const sim_fleet& fleet, const sim_users& users,
@@ -25,7 +26,7 @@
   void check_quotas();
   double gpus_used_by(const std::string& team) const;
   void log_tasks_of(const std::string& team) const;
-  /// Whether any task of the job has a process on some machine.
+  /// Reports whether any task of the job has a process on some machine.
   bool has_process(const std::string& job) const;
   void check_cancelled_jobs();
   void check_jobs_of_cancelled_ancestors();
--- a/tests/support/progress_rules.hpp
+++ b/tests/support/progress_rules.hpp
@@ -11,28 +11,30 @@
 
 namespace gingerdrift::testing {
 
-/// The rules about progress: no job goes unanswered for long ("forgotten"), none waits although
-/// there is capacity for it ("waits beside capacity"), and work of every kind is served ("served").
+/// Checks that the service makes progress: polls of a job do not remain unanswered for long
+/// ("forgotten"), no job waits for long although there is capacity for it ("waits beside
+/// capacity"), and no team or kind of job starves ("served").
 class progress_rules {
  public:
   progress_rules(site_context& context, const sim_fleet& fleet, const sim_users& users,
                  const job_history& history)
       : context_(context), fleet_(fleet), users_(users), history_(history) {}
 
-  /// From here on all faults are over: what waits or goes unanswered for too
-  /// long is a violation.
+  /// Starts the checks once all injected faults have ended. From this call on, it is a violation if
+  /// a job waits beside free capacity or its polls remain unanswered for too long.
   void expect_progress();
-  /// At the end of a scenario: half of the jobs of each team and shape have
-  /// begun, and half of the largest of each shape in time.
+  /// Checks, at the end of a scenario, that at least half of the jobs of each team and of each kind
+  /// (gangs, arrays) have started, and that at least half of the largest jobs of each kind started
+  /// in time.
   void check_served();
 
  private:
-  /// Where a job's tasks are.
+  /// The tasks of a job that are placed or done, and their zone.
   struct placement {
-    std::set<std::uint32_t> tasks;  // on machines, or done
-    std::string zone;               // of one of its machines; empty if it has none
+    std::set<std::uint32_t> tasks;  // indexes of tasks that are on machines or done
+    std::string zone;  // zone of the last machine found with a task of the job; empty if none
   };
-  /// How many jobs of some group there are, and how many of them have begun.
+  /// The number of jobs in a group, such as a team, and how many of them have started.
   struct group {
     std::size_t jobs = 0;
     std::size_t begun = 0;
@@ -53,7 +55,7 @@
   const sim_users& users_;
   const job_history& history_;
   std::optional<time_point> expected_since_;
-  std::map<std::string, time_point> could_start_since_;  // jobs that wait all the same
+  std::map<std::string, time_point> could_start_since_;  // by waiting job
 };
 
 }  // namespace gingerdrift::testing
--- a/tests/support/rule_violations.hpp
+++ b/tests/support/rule_violations.hpp
@@ -7,17 +7,17 @@
 
 namespace gingerdrift::testing {
 
-/// The violations of rules seen in a scenario, in words that begin with the
-/// rule's name.
+/// The rule violations found in a scenario. The text of each violation begins with the name of its
+/// rule.
 class rule_violations {
  public:
   explicit rule_violations(const sim_net& net) : net_(net) {}
-  /// Records a violation and logs it; the same words count once.
+  /// Records and logs a violation. A text that is already recorded is ignored.
   void add(const std::string& violation);
-  /// Whether there is one whose words begin like this.
+  /// Reports whether the text of any violation starts with `beginning`.
   bool contains(const std::string& beginning) const;
   void clear() { violations_.clear(); }
-  /// All of them, each followed by "; ". Empty if there is none.
+  /// Returns the texts of all violations, each followed by "; "; empty if there is none.
   std::string text() const;
 
  private:
--- a/tests/support/scenario_workload.hpp
+++ b/tests/support/scenario_workload.hpp
@@ -7,18 +7,18 @@
 
 namespace gingerdrift::testing {
 
-/// Submits the jobs that lines of a scenario describe.
+/// Schedules the submission of the jobs that the lines of a scenario describe.
 class scenario_workload {
  public:
   explicit scenario_workload(sim_service& service) : service_(service) {}
 
-  /// `job ID at= …`: a single job.
+  /// Handles `job ID at= …`: a single job.
   void submit_job(const trace_line& line);
-  /// `mixed jobs= over= run=`: arrays and gangs, urgent ones, some bound to a
-  /// zone or spread over both.
+  /// Handles `mixed jobs= over= run=`: arrays and gangs, some of them with high priority, bound to
+  /// a zone, or spread over both zones.
   void submit_mixed(const trace_line& line);
-  /// `pipelines count= from= over= …`: chains of five jobs with a diamond in
-  /// them.
+  /// Handles `pipelines count= from= over= …`: groups of five jobs each, whose dependencies form a
+  /// diamond followed by one more job.
   void submit_pipelines(const trace_line& line);
 
  private:
--- a/tests/support/sim_cloud.hpp
+++ b/tests/support/sim_cloud.hpp
@@ -9,20 +9,20 @@
 
 namespace gingerdrift::testing {
 
-/// Stand-in for the cloud's interface: machine types, rentals, releases, and
-/// lists that lag.
+/// Simulates the HTTP interface of the cloud: machine types, rentals, releases, and machine lists
+/// that are out of date.
 class sim_cloud {
  public:
-  /// Serves at cloud:1.
+  /// Starts to serve requests at the address cloud:1.
   sim_cloud(site_context& context, sim_fleet& fleet);
   void handle(const net::request& message, const net::reply_fn& reply);
-  /// Everybody gets 503 for that long.
+  /// Answers every request with 503 during the given time.
   void start_outage(duration span) { down_until_ = context_.net.now() + span; }
-  /// Calls of the controllers, refused ones included.
+  /// Returns the number of requests received, including refused ones.
   std::size_t calls() const { return calls_; }
 
  private:
-  /// The machines as they were at some moment.
+  /// The list of machines at the time it was recorded.
   struct listing {
     time_point taken;
     json machines;
@@ -38,7 +38,7 @@
   sim_fleet& fleet_;
   std::size_t calls_ = 0;
   time_point down_until_{};
-  std::map<std::string, std::vector<std::string>> rentals_;  // names by request id
+  std::map<std::string, std::vector<std::string>> rentals_;  // machine names by request id
   std::deque<listing> listings_;
 };
 
--- a/tests/support/sim_job.hpp
+++ b/tests/support/sim_job.hpp
@@ -7,50 +7,49 @@
 
 namespace gingerdrift::testing {
 
-/// GPUs of each simulated machine.
+/// The number of GPUs of each simulated machine.
 constexpr double gpus_per_machine = 8;
 
-/// A job as its user submits it, and how it behaves on simulated machines.
+/// A job as its user submits it, and its behaviour on simulated machines.
 struct sim_job {
   std::string id;
   std::string team;
-  bool gang = false;  // otherwise an array
+  bool gang = false;  // false: an array
   std::uint32_t tasks = 1;
-  double gpus = 1;  // of each task
-  double cpus = 1;  // of each task
-  /// How long each task runs. Each later task of an array runs `stagger_s` longer than the one
-  /// before it.
+  double gpus = 1;  // per task
+  double cpus = 1;  // per task
+  /// Run time of the first task. Each further task runs `stagger_s` longer than the one before it.
   double run_s = 10;
   double stagger_s = 0;
-  double checkpoint_s = 5;  // between two checkpoints; 0: it saves none
-  double save_s = 1;        // that a stopped task takes to save its state
-  /// Mean time that a machine takes to fetch the image, between half of it and half as much again;
-  /// 0: at most two seconds.
+  double checkpoint_s = 5;  // time between two checkpoints; 0: the job saves none
+  double save_s = 1;        // time that a stopped task takes to save its state
+  /// Mean time that a machine takes to fetch the image. The actual time is between 50 % and 150 %
+  /// of the mean. 0: the image takes between 0.2 s and 2 s.
   double fetch_s = 0;
-  bool one_zone = false;  // all tasks have to be in the same zone
+  bool one_zone = false;  // all tasks must be in the same zone
   bool spread = false;    // at most half of the tasks, rounded up, may be in one zone
-  bool spot = false;      // it may run on spot machines
-  std::string zone;       // that it is bound to; empty: any
-  bool fails = false;     // every task of it fails once started
+  bool spot = false;      // the job may run on spot machines
+  std::string zone;       // zone that the job is bound to; empty: any
+  bool fails = false;     // each task fails once its image is fetched
   std::string priority = "standard";
-  std::vector<std::string> dependencies;  // jobs that have to be done first
+  std::vector<std::string> dependencies;  // ids of jobs that must be done first
 
-  /// How many of its tasks a user counts on to be done once the job is: members
-  /// of a gang end together, so that one of them speaks for all.
+  /// Returns the number of tasks that must be done when the job is reported as done. One is enough
+  /// for a gang, because its members end together.
   std::uint32_t required_done_tasks() const { return gang ? 1 : tasks; }
-  /// The body of its submission.
+  /// Returns the JSON body of the submission of this job.
   std::string body() const;
 };
 
-/// The name of the job with that number; names have to begin with "run-".
+/// Returns the id of the job with a number. The service requires ids to begin with "run-".
 inline std::string job_name(std::size_t number) { return "run-" + std::to_string(number); }
 
-/// An array without any constraint, whose tasks need a CPU and a GPU each.
+/// Returns an array job without placement constraints, whose tasks need one CPU and one GPU each.
 sim_job basic_job(const std::string& id, const std::string& team, std::uint32_t tasks,
                   double run_s);
-/// An array job of the team "blue" that may run on spot machines.
+/// Returns an array job of the team "blue" that may run on spot machines.
 sim_job array_job(const std::string& id, std::uint32_t tasks, double run_s);
-/// A gang of the team "red" whose members take a machine each, all in one zone.
+/// Returns a gang job of the team "red" whose members occupy a whole machine each, all in one zone.
 sim_job gang_job(const std::string& id, std::uint32_t tasks, double run_s);
 
 }  // namespace gingerdrift::testing
--- a/tests/support/sim_machine.hpp
+++ b/tests/support/sim_machine.hpp
@@ -15,33 +15,34 @@
 
 class sim_fleet;
 
-/// A task by its job and its index in it. Ordered by job, then index.
+/// Identifies a task by its job and its index within the job. Ordered by job, then index.
 struct task_key {
   std::string job;
   std::uint32_t index = 0;
   auto operator<=>(const task_key&) const = default;
 };
 
-/// Where a task on a machine is in its life.
+/// The phase of a task on a machine.
 enum class task_phase { fetching, waiting_for_gang, running, saving, ended };
 
-/// Why a task ended; `none` while it has not.
+/// The reason why a task ended; `none` until then.
 enum class exit_cause { none, done, failed, stopped, gang_incomplete, gang_peers_lost };
 
-/// A simulated machine with its worker. The worker sends heartbeats, follows
-/// the commands in their answers and in direct requests, runs tasks, and ends
-/// them when its lease expires.
+/// A simulated machine with its worker. The worker sends heartbeats, executes the commands in the
+/// answers to them and in direct requests, runs tasks, and kills all of them when its lease
+/// expires.
 class sim_machine {
  public:
+  /// One attempt of a task on this machine.
   struct task {
     const sim_job* job = nullptr;
     std::uint64_t attempt = 0;
     task_phase phase = task_phase::fetching;
     exit_cause cause = exit_cause::none;
-    time_point ready{};    // when it has fetched its image, or saved its state
-    time_point started{};  // when its present phase began: waiting for its gang,
-                           // or running
-    /// Whether its process exists; only then it uses its team's quota.
+    time_point ready{};    // when the image is fetched or the state is saved
+    time_point started{};  // when the process started, or when its gang became complete
+    /// Reports whether the process of the task exists. Only tasks with a process count against the
+    /// quota of their team.
     bool has_process() const {
       return phase == task_phase::running || phase == task_phase::waiting_for_gang ||
              phase == task_phase::saving;
@@ -54,14 +55,14 @@
 
   /// Starts the worker, unless the machine is gone.
   void boot();
-  /// The machine is released or taken away, with all that is on it.
+  /// Removes the machine with all its tasks, as after a release or a spot interruption.
   void vanish();
-  /// The machine stands still for a while: requests get no answer, and commands
-  /// that come meanwhile are executed afterwards.
+  /// Suspends the machine for a time span. Requests get no answer, and commands that arrive during
+  /// the span are executed after it.
   void hang(duration span) { hangs_until_ = span + now(); }
-  /// From here on every task on it fails.
+  /// Makes every task fail that finishes fetching its image after this call.
   void make_faulty() { faulty_ = true; }
-  /// Forgets its tasks without a trace, for tests of the checks.
+  /// Removes all tasks without reporting their end, for tests of the checks.
   void drop_tasks() { tasks_.clear(); }
 
   const std::string& name() const { return name_; }
@@ -70,16 +71,18 @@
   bool is_up() const { return state_ == state::up; }
   bool is_gone() const { return state_ == state::gone; }
   bool is_hanging() const { return now() < hangs_until_; }
-  /// Whether tasks that are placed on it can run.
+  /// Reports whether tasks placed on this machine can run: it is up, does not hang and is not
+  /// faulty.
   bool is_usable() const { return is_up() && !is_hanging() && !faulty_; }
   time_point created_at() const { return created_at_; }
-  /// The worker's incarnation, from 1; it grows as a lease expires.
+  /// Returns the incarnation of the worker, which starts at 1 and increases whenever its lease
+  /// expires.
   std::uint64_t incarnation() const { return incarnation_; }
   const std::map<task_key, task>& tasks() const { return tasks_; }
 
  private:
   enum class state { starting, up, gone };
-  /// A command of a controller about one attempt of a task.
+  /// A command from a controller that concerns one attempt of a task.
   struct command;
 
   time_point now() const;
@@ -120,9 +123,9 @@
   std::uint64_t token_ = 0;  // the highest fencing token seen
   time_point lease_from_{};
   time_point hangs_until_{};
-  std::vector<std::string> held_commands_;  // that came while it hung
-  std::set<std::string> images_;            // jobs whose image it has
-  std::size_t target_ = 0;                  // index of the controller it sends heartbeats to
+  std::vector<std::string> held_commands_;  // request bodies received while hanging
+  std::set<std::string> images_;            // ids of jobs whose image is on the machine
+  std::size_t target_ = 0;                  // index of the controller that receives the heartbeats
   bool heartbeat_in_flight_ = false;
   callback_guard guard_;
 };
--- a/tests/support/sim_net.hpp
+++ b/tests/support/sim_net.hpp
@@ -13,28 +13,26 @@
 
 namespace gingerdrift::testing {
 
-/// A request or a response at the moment its sender handed it to the network.
+/// A request or a response at the time when its sender passes it to the network.
 struct sent_message {
   time_point sent;
   const std::string& sender;    // host
-  const std::string& receiver;  // address of a request, host of a response
+  const std::string& receiver;  // address for a request, host for a response
   const net::request* request = nullptr;
   const net::response* response = nullptr;
 };
 
-/// A simulated network in virtual time: servers by address, links with latency
-/// that can be cut, hosts that can be muted or frozen. All randomness of a
-/// scenario comes from its generator, so that one seed gives one course of
-/// events.
+/// A simulated network in virtual time: servers by address, links that have latency and can be cut,
+/// and hosts that can be muted or frozen. All randomness of a scenario comes from the generator of
+/// this class, so that each seed produces a deterministic sequence of events.
 class sim_net {
  public:
-  /// What happens to packets on a cut link.
+  /// How packets on a cut link are treated.
   enum class cut_mode {
-    drop,   // they are lost
-    hold,   // they arrive once the cut is over, also when their sender has given
-            // up
-    refuse  // requests are answered 503 at once, as a state service does to a
-            // single controller
+    drop,   // packets are lost
+    hold,   // packets arrive after the cut ends, even if their sender has given up
+    refuse  // requests are answered with 503 at once, as the state service may do to a single
+            // controller
   };
 
   explicit sim_net(std::uint64_t seed) : random(seed) {}
@@ -53,47 +51,46 @@
 
   /// Starts a host's server at an address.
   void serve(const std::string& host, const std::string& address, net::handler_fn handler);
-  /// Ends all servers of a host; requests to them get no answer.
+  /// Stops all servers of a host. Callers of a stopped server receive status 0.
   void stop(const std::string& host);
-  /// Sends a request from a host. `done` runs exactly once: with the answer, or
-  /// with status 0 after the deadline.
+  /// Sends a request from a host. `done` runs exactly once: with the answer, or with status 0 if
+  /// the connection is refused or the deadline passes.
   void call(const std::string& from, const std::string& address, net::request message,
             duration deadline, net::reply_fn done);
 
   /// Cuts the link between two hosts in both directions.
   void cut(const std::string& a, const std::string& b, duration span, cut_mode mode);
-  /// Drops packets from `sender` to `receiver`; the other direction works.
+  /// Drops packets from `sender` to `receiver`; the other direction is not affected.
   void cut_one_way(const std::string& sender, const std::string& receiver, duration span) {
     cuts_[{sender, receiver}] = {.until = now() + span, .mode = cut_mode::drop};
   }
   bool is_cut(const std::string& sender, const std::string& receiver) const;
-  /// This share of the requests to a path is delivered once more, up to
-  /// `longest_delay` later; the answers to such copies go nowhere.
+  /// Delivers a share of the requests to a path a second time, between 1 s and `longest_delay`
+  /// later. The answers to these copies are discarded.
   void copy_late(const std::string& path, double share, duration longest_delay,
                  duration span = std::chrono::hours(24)) {
     late_copies_ = {
         .path = path, .share = share, .longest_delay = longest_delay, .until = now() + span};
   }
-  /// The host opens no connections; others still reach it.
+  /// Drops all requests that the host sends; requests to the host and its answers still arrive.
   void mute(const std::string& host, duration span) { muted_until_[host] = now() + span; }
   bool is_mute(const std::string& host) const { return end_of(muted_until_, host) > now(); }
-  /// The host's process stands still while clocks run on: what falls due
-  /// meanwhile runs afterwards.
+  /// Suspends the process of a host while clocks continue. Requests, answers and timers that become
+  /// due during the span are processed after it.
   void freeze(const std::string& host, duration span) { frozen_until_[host] = now() + span; }
   time_point frozen_until(const std::string& host) const { return end_of(frozen_until_, host); }
 
-  /// Observes late copies as they are delivered.
+  /// Called when a late copy of a request is delivered.
   std::function<void(const std::string& address, const net::request&)> on_late_copy;
-  /// Observes every message of the service, its workers, users and outside
-  /// systems.
+  /// Called for every message of the service, its workers, its users and external systems.
   std::function<void(const sent_message&)> on_sent;
-  /// Requests that arrived after their sender's deadline.
+  /// Returns the number of requests that arrived after the deadline of their sender.
   std::size_t expired_arrivals() const { return expired_arrivals_; }
-  /// Whether any link ever held packets.
+  /// Reports whether any link was ever cut with `cut_mode::hold`.
   bool ever_held_packets() const { return ever_held_packets_; }
 
   std::mt19937_64 random;
-  /// A random number of the same generator.
+  /// Returns a random number from the generator of the scenario.
   double uniform(double low, double high) {
     return std::uniform_real_distribution<double>(low, high)(random);
   }
@@ -103,7 +100,7 @@
     std::string host;
     net::handler_fn handler;
   };
-  /// One direction between two hosts. Ordered by sender, then receiver.
+  /// One direction of the connection between two hosts. Ordered by sender, then receiver.
   struct link {
     std::string sender;
     std::string receiver;
@@ -113,7 +110,7 @@
     time_point until;
     cut_mode mode;
   };
-  /// Which requests are delivered a second time.
+  /// Selects the requests that are delivered a second time.
   struct late_copy_rule {
     std::string path;
     double share = 0;
@@ -129,7 +126,7 @@
   void deliver(const std::string& from, const std::string& host, const std::string& address,
                const net::request& message, const net::reply_fn& finish);
   duration latency() { return from_seconds(uniform(0.0005, 0.003)); }
-  /// When a packet sent now arrives; nothing if it is lost.
+  /// Returns when a packet sent now arrives, or nullopt if it is lost.
   std::optional<time_point> arrival(const std::string& sender, const std::string& receiver);
 
   virtual_clock clock_;
@@ -142,14 +139,14 @@
   bool ever_held_packets_ = false;
 };
 
-/// The runtime of a process on a simulated host. Its timers and the answers to
-/// its calls end with it, and are put off while the host is frozen.
+/// The runtime of a process on a simulated host. Its destruction cancels its timers and discards
+/// answers to its calls. Both are deferred while the host is frozen.
 class sim_runtime final : public net::runtime {
  public:
   sim_runtime(sim_net& net, std::string host) : net_(net), host_(std::move(host)) {}
 
   time_point now() override { return net_.now(); }
-  /// The wall clock agrees with virtual time.
+  /// Returns a wall clock time whose offset from the epoch equals that of virtual time.
   wall_time wall_now() override;
   net::timer_id after(duration delay, std::function<void()> action) override;
   void cancel(net::timer_id id) override;
@@ -159,8 +156,7 @@
  private:
   sim_net& net_;
   std::string host_;
-  /// Timers that fell due while the host was frozen, and those that replace
-  /// them.
+  /// Maps each timer that became due while the host was frozen to the timer that replaces it.
   std::map<net::timer_id, net::timer_id> postponed_;
   callback_guard guard_;
 };
--- a/tests/support/sim_service.hpp
+++ b/tests/support/sim_service.hpp
@@ -13,8 +13,8 @@
 
 namespace gingerdrift::testing {
 
-/// Runs each scheduling cycle inline; its decisions come a moment later in
-/// virtual time.
+/// Runs each scheduling cycle on the calling thread and delivers its decisions after a short delay
+/// in virtual time.
 class inline_scheduling_executor final : public leader::scheduling_executor {
  public:
   inline_scheduling_executor(net::runtime& runtime, const admission::policy& policy)
@@ -27,12 +27,12 @@
   leader::cycle_runner runner_;
 };
 
-/// Gives a controller of a former version the host that the present one runs
-/// on.
+/// Adapts the runtime of the current version to the host interface of a former version's
+/// controller.
 class former_host final : public former_version::host {
  public:
-  /// A former version's settings file takes numbers for addresses; simulated
-  /// hosts have names.
+  /// Maps the numeric addresses in the settings file of a former version to addresses with
+  /// simulated host names. The settings of former versions accept only numeric addresses.
   using address_map = std::map<std::string, std::string>;
   former_host(net::runtime& runtime, address_map names)
       : runtime_(runtime), names_(std::move(names)) {}
@@ -50,53 +50,54 @@
   address_map names_;
 };
 
-/// The whole service in virtual time: controllers, key-value store, cloud, workers and users. The
-/// controller node-2 is in zone b, the others are in zone a.
+/// The whole service in virtual time: controllers, state service, cloud, workers and users. The
+/// controller node-2 is in zone b, all others are in zone a.
 class sim_service {
  public:
-  /// Starts all controllers. `initial_release`: the former version that they
-  /// begin with; null: the present one.
+  /// Starts all controllers. `initial_release` is the former version that they run initially; null
+  /// stands for the current version.
   explicit sim_service(std::uint64_t seed, std::size_t controllers = 3,
                        site_parameters site_settings = {},
                        const former_version::release* initial_release = nullptr);
 
-  /// Starts a controller's process, unless it runs.
+  /// Starts the process of a controller unless it is already running.
   void start(std::size_t node);
   void crash(std::size_t node);
-  /// The process ends, and comes back after that time.
+  /// Stops the process of a controller and restarts it after the given time.
   void crash_for(std::size_t node, duration span);
-  /// The same for the present leader, which has to exist.
+  /// Calls crash_for() for the current leader, which must exist.
   void crash_leader_for(duration span) { crash_for(*leader(), span); }
   void crash_all_for(duration span);
-  /// The process ends, and comes back with the present version, now and after
-  /// every later end.
+  /// Stops the process of a controller and restarts it with the current version after the given
+  /// time. Later restarts also use the current version.
   void upgrade(std::size_t node, duration downtime);
   std::size_t controllers() const { return processes_.size(); }
-  /// The zone that a controller is in.
+  /// Returns the zone of a controller.
   static zone_name zone_of(std::size_t node);
-  /// The controller that leads, if any does.
+  /// Returns the index of the current leader, if there is one.
   std::optional<std::size_t> leader() const;
 
-  /// Runs until all users have their final answers; false if that takes longer
-  /// than this.
+  /// Runs until users have received a final state for every job. Returns false if that takes longer
+  /// than `longest`.
   bool run_until_all_finished(duration longest);
-  /// The rule violations seen so far, in words; empty if there is none.
+  /// Returns the texts of the rule violations found so far; empty if there is none.
   std::string violations() const { return site.violations.text(); }
-  /// Writes a record to the store from outside the service, in place of whatever is there. Returns
-  /// the store's HTTP status.
+  /// Writes a record to the state service from outside the service, replacing any existing value.
+  /// Returns the HTTP status of the write; advances virtual time by one second.
   int write_record(const std::string& key, const json& value);
 
   sim_net net;
   state_service state;
-  /// Cloud, machines and users, and the rules that watch them.
+  /// Cloud, machines and users, and the checks of their behaviour.
   sim_site site;
-  /// What all controllers read at their start; each has its own name, zone and peers beside it.
+  /// Settings that all controllers read at their start; name, zone and peers are added for each
+  /// controller.
   config::platform_settings settings;
 
  private:
-  /// A controller's process. All but the release is empty while it is down.
+  /// The process of a controller. While it is down, all members except the release are empty.
   struct process {
-    const former_version::release* former = nullptr;  // null: the present version
+    const former_version::release* former = nullptr;  // null: the current version
     std::unique_ptr<sim_runtime> runtime;
     std::unique_ptr<former_host> host;
     std::unique_ptr<former_version::controller> former_controller;
@@ -114,11 +115,11 @@
   std::vector<process> processes_;
 };
 
-/// The host of a controller.
+/// Returns the host name of a controller.
 inline std::string node_host(std::size_t node) { return "node-" + std::to_string(node); }
-/// Where a controller's host serves users and workers.
+/// Returns the address at which a controller host serves users and workers.
 inline std::string front_address_of(const std::string& host) { return host + ":1"; }
-/// Where a controller's host serves its peers.
+/// Returns the address at which a controller host serves its peers.
 inline std::string peer_address_of(const std::string& host) { return host + ":2"; }
 
 }  // namespace gingerdrift::testing
--- a/tests/support/sim_site.hpp
+++ b/tests/support/sim_site.hpp
@@ -16,17 +16,17 @@
 
 namespace gingerdrift::testing {
 
-/// Everything around the controllers but the state service: cloud, machines and
-/// users, with the rules that watch machines and users.
+/// The environment of the controllers except the state service: cloud, machines and users, with the
+/// checks of the behaviour that machines and users observe.
 class sim_site : public site_context {
  public:
-  /// `front_addresses`: where controllers serve users and workers.
+  /// `front_addresses` are the addresses at which controllers serve users and workers.
   sim_site(sim_net& network, site_parameters settings, std::vector<std::string> front_addresses);
   sim_site(const sim_site&) = delete;
   sim_site& operator=(const sim_site&) = delete;
 
   void submit(const sim_job& job) { users.submit(job); }
-  /// The checks at the end of a scenario.
+  /// Runs the checks that apply at the end of a scenario.
   void check_outcome();
 
   sim_fleet fleet;
--- a/tests/support/site_context.hpp
+++ b/tests/support/site_context.hpp
@@ -14,22 +14,23 @@
 
 /// Settings and size of a simulated deployment.
 struct site_parameters {
-  double heartbeat_s = 1;   // between two heartbeats of a worker
-  double lease_s = 6;       // of a worker
-  double gang_wait_s = 15;  // that a member of a gang waits for the others to start
-  double gang_peer_s = 3;   // that a running member goes on after another was lost
-  double cancel_s = 14;     // from a confirmed cancellation until no task of the job may run
-  double boot_s = 5;        // of a machine
-  double list_lag_s = 2;    // of the cloud's list of machines
-  double scheduling_interval_s = 0.1;  // between two scheduling cycles
-  double quota_factor = 1;   // how many times the usual guarantees and limits the teams have
-  std::size_t capacity = 6;  // machines of each zone, and of each kind: on demand or spot
-  std::uint32_t final_cache = 4096;  // terminal states that a controller caches
-  /// What the settings announce as the state service's limits to come.
+  double heartbeat_s = 1;   // time between two heartbeats of a worker
+  double lease_s = 6;       // duration of a worker's lease
+  double gang_wait_s = 15;  // time that a gang member waits for the other members to start
+  double gang_peer_s = 3;   // time that a running gang member continues after another is lost
+  /// Time after a confirmed cancellation from which no task of the job may run any more.
+  double cancel_s = 14;
+  double boot_s = 5;                   // typical boot time of a machine
+  double list_lag_s = 2;               // typical age of the machine lists that the cloud returns
+  double scheduling_interval_s = 0.1;  // time between two scheduling cycles
+  double quota_factor = 1;             // factor on the default guarantees and limits of the teams
+  std::size_t capacity = 6;            // machines per zone and kind (on demand or spot)
+  std::uint32_t final_cache = 4096;    // number of terminal states that a controller caches
+  /// Future limits of the state service that the settings announce.
   std::optional<kvstore::service_limits> announced;
 };
 
-/// What the stand-ins of one simulated deployment share.
+/// State shared by the simulated systems of one deployment.
 struct site_context {
   site_context(sim_net& network, site_parameters settings, std::vector<std::string> front_addresses)
       : net(network),
@@ -39,16 +40,17 @@
 
   sim_net& net;
   site_parameters parameters;
-  std::vector<std::string> controller_addresses;  // where controllers serve users and workers
-  std::map<std::string, double> limits;           // team -> GPUs it may use at most
-  std::map<std::string, sim_job> jobs;            // submitted, by id
-  /// How often what a trace may expect has happened, by the names that traces use
+  std::vector<std::string>
+      controller_addresses;  // where controllers serve users and workers, by controller index
+  std::map<std::string, double> limits;  // maximum number of GPUs by team
+  std::map<std::string, sim_job> jobs;   // submitted jobs by id
+  /// Counts of the events that a trace can expect, by the names that traces use
   /// (tests/traces/README.md).
   std::map<std::string, std::size_t> event_counts;
   rule_violations violations;
 };
 
-/// The host of an address HOST:PORT.
+/// Returns the host of an address HOST:PORT.
 inline std::string host_of(const std::string& address) {
   return address.substr(0, address.find(':'));
 }
--- a/tests/support/state_service.hpp
+++ b/tests/support/state_service.hpp
@@ -13,93 +13,93 @@
 
 namespace gingerdrift::testing {
 
-/// Stand-in for the key-value store, which the protocol calls the state service: versioned keys,
-/// leases, transactions and watches, with rate and size limits, and with the faults that tests
-/// inject.
+/// Simulates the key-value store, which the protocol calls the state service: versioned keys,
+/// leases, transactions and watches, with rate and size limits and with faults that tests inject.
 class state_service {
  public:
   state_service(sim_net& net, const std::string& address);
-  /// Serves one request, with the faults that are injected at this moment.
+  /// Handles one request, subject to the currently injected faults.
   void handle(const net::request& message, const net::reply_fn& reply);
 
-  /// Sets the limits; may be called at any moment. Above the rates, with bursts
-  /// of one second's worth, everybody gets 429; larger values and transactions
-  /// get 400.
+  /// Sets the limits; can be called at any time. Requests above the rates, which allow bursts of
+  /// one second's worth, are answered with 429. Values and transactions above the size limits are
+  /// answered with 400.
   void set_limits(const kvstore::service_limits& limits);
 
-  // Faults.
+  // Fault injection.
 
-  /// Everybody gets 503 for that long; leases have their full time again
-  /// afterwards.
+  /// Answers every request with 503 during the given time. All leases are renewed to their full
+  /// time to live at its end.
   void start_outage(duration span);
-  /// Each answer takes about that much longer.
+  /// Delays the processing of each request by 50 % to 150 % of `delay`.
   void slow_down(duration delay, duration span) {
     slower_by_ = delay;
     slow_until_ = net_.now() + span;
   }
-  /// This share of transactions gets no answer and is applied 2 s to 12 s
-  /// later.
+  /// Applies a share of the transactions 2 s to 12 s late and without an answer.
   void delay_transactions(double share, duration span) {
     late_writes_fault_ = {share, net_.now() + span};
   }
-  /// This share of transactions is applied at once, and only the answer is
-  /// lost.
+  /// Applies a share of the transactions at once, but loses their answers.
   void lose_answers(double share, duration span) {
     lost_answers_fault_ = {share, net_.now() + span};
   }
-  /// The answer to the next request for this target, made at once, is under way
-  /// for that long.
+  /// Processes the next request for this target at once, but delivers its answer after the given
+  /// time.
   void hold_next_answer(const std::string& target, duration span) { held_answers_[target] = span; }
 
-  // What happened.
+  // Statistics.
 
   std::size_t largest_stored_value_bytes() const { return largest_stored_value_bytes_; }  // bytes
   std::size_t largest_transaction_operations() const {
     return largest_transaction_operations_;
-  }  // of one transaction
+  }  // in one transaction
   std::size_t refused_for_size() const { return refused_for_size_; }
   std::size_t refused_for_rate() const { return refused_for_rate_; }
   std::size_t requests_received() const { return requests_received_; }
   std::size_t writes_admitted() const { return writes_admitted_; }
-  std::size_t lost_answers() const { return lost_answers_; }  // of transactions that succeeded
-  std::size_t late_writes() const { return late_writes_; }    // applied late
+  std::size_t lost_answers() const { return lost_answers_; }  // to successful transactions
+  std::size_t late_writes() const { return late_writes_; }    // transactions processed late
   std::size_t late_writes_refused() const {
     return late_writes_refused_;
-  }  // of them, by their conditions
-  /// The stored value of a key; null if there is none. Valid until the key's
-  /// next change.
+  }  // late ones that failed, for example on their conditions
+  /// Returns the stored value of a key, or null if there is none. The pointer is valid until the
+  /// next change of the key.
   const json* peek(const std::string& key) const;
-  /// Called before each change; `value` is null where a key is deleted.
+  /// Called before each change of a key; `value` is null for a deletion.
   std::function<void(const std::string& key, const json* value)> on_change;
 
  private:
+  /// A stored value.
   struct entry {
     json value;
     std::uint64_t version;
     std::uint64_t lease;  // 0: none
   };
+  /// A lease and its expiry time.
   struct lease_state {
     duration ttl;
     time_point until;
   };
+  /// A watch request that waits for changes after the revision `from`.
   struct watcher {
     std::string prefix;
     std::uint64_t from;
     net::reply_fn reply;
     std::uint64_t id;
   };
-  /// One change in the history that watches read.
+  /// A change in the history from which watches are answered.
   struct change_record {
     std::uint64_t revision;
     std::string key;
     json value;  // null: deleted
   };
-  /// A fault that hits a share of the transactions until some moment.
+  /// A fault that affects a share of the transactions until a point in time.
   struct transaction_fault {
     double share = 0;
     time_point until{};
   };
-  /// A handler of one path of the protocol.
+  /// Maps a path of the protocol, or a path prefix, to its handler.
   struct route {
     std::string_view path;
     bool is_prefix;
@@ -108,16 +108,16 @@
 
   bool down() const { return net_.now() < down_until_; }
   bool hits(const transaction_fault& fault, const net::request& message);
-  /// Applies a transaction some seconds later, and answers nothing.
+  /// Applies a transaction some seconds later and sends no answer.
   void apply_late(const net::request& message);
-  /// Carries a request out at once; its answer comes after the delay.
+  /// Processes a request at once and delivers its answer after the delay.
   void answer_late(const net::request& message, duration delay, const net::reply_fn& reply);
   void expire_leases();
   void change(const std::string& key, const json* value, std::uint64_t lease);
   void notify_watchers();
   json changes(const std::string& prefix, std::uint64_t from) const;
 
-  /// Carries a request out, without injected delays and losses.
+  /// Processes a request without injected delays and losses.
   void dispatch(const net::request& message, const net::reply_fn& reply);
   void read_key(const net::request& message, const net::reply_fn& reply);
   void list_keys(const net::request& message, const net::reply_fn& reply);
--- a/tests/support/trace_files.hpp
+++ b/tests/support/trace_files.hpp
@@ -9,13 +9,13 @@
 
 namespace gingerdrift::testing {
 
-/// The file of a kept trace: tests/traces/KIND/NAME.trace.
+/// Returns the path of a trace file: tests/traces/KIND/NAME.trace.
 inline std::filesystem::path trace_path(const std::string& kind, const std::string& name) {
   return std::filesystem::path(GINGERDRIFT_SOURCE_DIR) / "tests" / "traces" / kind /
          (name + ".trace");
 }
 
-/// The names of the kept traces of a kind, in order.
+/// Returns the names of all trace files of a kind, in alphabetical order.
 inline std::vector<std::string> trace_names(const std::string& kind) {
   std::vector<std::string> names;
   const auto directory = trace_path(kind, "any").parent_path();
@@ -26,7 +26,7 @@
   return names;
 }
 
-/// The text of a kept trace.
+/// Returns the contents of a trace file.
 inline std::string read_trace(const std::string& kind, const std::string& name) {
   std::ifstream file(trace_path(kind, name));
   std::stringstream text;
--- a/tests/support/trace_line.hpp
+++ b/tests/support/trace_line.hpp
@@ -8,7 +8,7 @@
 
 namespace gingerdrift::testing {
 
-/// The parts of a text between separators; none for an empty text.
+/// Splits a text at each separator. Returns no parts for an empty text.
 inline std::vector<std::string> split(const std::string& text, char separator = ',') {
   std::vector<std::string> parts;
   std::istringstream in(text);
@@ -16,11 +16,11 @@
   return parts;
 }
 
-/// A line of a kept trace: bare words, and `name=value` pairs.
+/// A line of a trace file: bare words and `name=value` pairs.
 struct trace_line {
   std::map<std::string, std::string> values;
-  std::set<std::string> flags;     // the bare words
-  std::vector<std::string> words;  // the same in order
+  std::set<std::string> flags;     // all bare words
+  std::vector<std::string> words;  // all bare words in order
 
   explicit trace_line(const std::string& line) {
     std::istringstream in(line);
@@ -34,18 +34,18 @@
       }
     }
   }
-  /// The number of a pair; the fallback where the line has no such pair. Throws
-  /// std::invalid_argument if it is none.
+  /// Returns the value of a pair as a number, or the fallback if the line has no such pair. Throws
+  /// std::invalid_argument if the value is not a number.
   double number(const std::string& name, double fallback) const {
     const auto value = values.find(name);
     return value == values.end() ? fallback : std::stod(value->second);
   }
-  /// The text of a pair; the fallback where the line has no such pair.
+  /// Returns the value of a pair as text, or the fallback if the line has no such pair.
   std::string text(const std::string& name, const std::string& fallback = "") const {
     const auto value = values.find(name);
     return value == values.end() ? fallback : value->second;
   }
-  /// Whether the line has this bare word.
+  /// Reports whether the line contains this bare word.
   bool has(const std::string& flag) const { return flags.count(flag) != 0; }
 };
 
--- a/tests/support/user_probes.hpp
+++ b/tests/support/user_probes.hpp
@@ -7,25 +7,27 @@
 
 namespace gingerdrift::testing {
 
-/// Requests beyond what users need: the same question to all controllers at
-/// critical moments, and requests that have to be refused.
+/// Sends additional user requests that test consistency: the same query to all controllers at
+/// critical moments, repeated requests, and requests that must be rejected.
 class user_probes {
  public:
   user_probes(site_context& context, sim_users& users) : context_(context), users_(users) {}
 
-  /// For that long, users query all controllers, within milliseconds and again over the next
-  /// seconds, once a job was accepted or they were told its final state: they poll it, repeat its
-  /// submission, and cancel what is over.
+  /// During the given span, makes users query all controllers whenever a job is accepted or its
+  /// first final state is received. The queries start at that moment and repeat over the next 2.5
+  /// seconds. Each polls the job, repeats its submission, and cancels it if it is finished.
   void query_all_controllers_for(duration span) { querying_until_ = context_.net.now() + span; }
-  /// To be called at such a moment.
+  /// Queries all controllers about a job, unless the span has ended. Must be called when the job is
+  /// accepted and when its first final state is received.
   void query_all_controllers(const std::string& job);
-  /// Once a second for that long, users repeat submissions, cancel what is
-  /// over, submit what can't be accepted, and poll what nobody submitted.
+  /// Once per second during the given span, repeats submissions, cancels a finished job, submits a
+  /// job that must be rejected, and polls a job that was never submitted.
   void send_unexpected_requests_for(duration span);
 
  private:
   void query(const std::string& job, const std::string& node);
-  /// Asks a controller about an accepted job by one of the users' paths.
+  /// Sends a request about an accepted job to a controller, through one of the paths of the user
+  /// API.
   void send_query(const std::string& job, const std::string& node, const std::string& method,
                   const std::string& target);
 
--- a/tests/support/virtual_clock.hpp
+++ b/tests/support/virtual_clock.hpp
@@ -8,24 +8,24 @@
 
 namespace gingerdrift::testing {
 
-/// Where virtual time begins.
+/// The start of virtual time.
 constexpr time_point simulation_start{seconds(1000)};
 
-/// Virtual time. Actions run in the order of their due times; those due at the
-/// same moment run in the order in which they were scheduled.
+/// A clock with virtual time and scheduled actions. Actions run in the order of their due times;
+/// those with the same due time run in the order in which they were scheduled.
 class virtual_clock {
  public:
   time_point now() const { return now_; }
-  /// Seconds since the simulation began.
+  /// Returns the seconds since the start of the simulation.
   double seconds_now() const { return to_seconds(now_ - simulation_start); }
-  /// Schedules an action; one that is due in the past runs next.
+  /// Schedules an action. One whose due time has passed is due at the current time.
   net::timer_id run_at(time_point due, std::function<void()> action);
   net::timer_id after(duration delay, std::function<void()> action) {
     return run_at(now_ + delay, std::move(action));
   }
-  /// Does nothing for an action that has run.
+  /// Cancels a scheduled action. Has no effect if the action has already run.
   void cancel(net::timer_id id);
-  /// Runs everything that falls due within the span, and ends at its end.
+  /// Runs all actions that become due within the span and advances the time to its end.
   void run_for(duration span);
 
  private:
