--- a/tests/service_guarantees_test.cpp
+++ b/tests/service_guarantees_test.cpp
@@ -184,7 +184,7 @@
 
   service.net.run_for(seconds(380));
 
-  ASSERT_TRUE(service.site.fleet.has_begun("run-1"));
+  ASSERT_TRUE(service.site.fleet.has_started("run-1"));
   const duration waited = service.site.fleet.first_starts().at("run-1") -
                           *service.site.users.record("run-1").submitted_at;
   EXPECT_LT(waited, seconds(240));
--- a/tests/support/fault_scenario.cpp
+++ b/tests/support/fault_scenario.cpp
@@ -143,7 +143,7 @@
     const auto& site = service_.site;
     return static_cast<std::size_t>(
         std::count_if(site.jobs.begin(), site.jobs.end(), [&](const auto& entry) {
-          return !site.fleet.has_begun(entry.first) && site.users.record(entry.first).has_state();
+          return !site.fleet.has_started(entry.first) && site.users.record(entry.first).has_state();
         }));
   }
 
--- a/tests/support/progress_rules.cpp
+++ b/tests/support/progress_rules.cpp
@@ -127,7 +127,7 @@
     const std::string shape_name = job.gang ? "gangs" : "arrays";
     for (const auto& name : {"team " + job.team, shape_name}) {
       ++groups[name].jobs;
-      groups[name].begun += fleet_.has_begun(id);
+      groups[name].begun += fleet_.has_started(id);
     }
     // The time counts from when a job is ready, which isn't recorded for those with dependencies.
     if (job.tasks != largest[job.gang] || !job.dependencies.empty()) continue;
--- a/tests/support/sim_fleet.hpp
+++ b/tests/support/sim_fleet.hpp
@@ -89,7 +89,7 @@
   std::size_t task_starts() const { return task_starts_; }
   /// Returns, for each job that has started, when its first task started.
   const std::map<std::string, time_point>& first_starts() const { return first_starts_; }
-  bool has_begun(const std::string& job) const { return first_starts_.count(job) != 0; }
+  bool has_started(const std::string& job) const { return first_starts_.count(job) != 0; }
 
   // Called by the machines.
 
