--- a/src/admission/variants.cpp
+++ b/src/admission/variants.cpp
@@ -131,8 +131,8 @@
   for (auto& variant : state.variants) {
     const bool is_created =
         variant.tier == 0 || input.now - state.delay_start >= creation_delay(variant, job);
-    const bool is_wanted = !job.waiting.empty() || (upgradable && variant.tier < running_tier);
-    variant.active = is_created && is_wanted;
+    const bool is_needed = !job.waiting.empty() || (upgradable && variant.tier < running_tier);
+    variant.active = is_created && is_needed;
   }
   return state;
 }
--- a/src/api/acceptance_check.cpp
+++ b/src/api/acceptance_check.cpp
@@ -14,7 +14,7 @@
 constexpr std::size_t max_remembered = 16384;
 /// The state service accepts this many conditions per operation that a transaction may have.
 constexpr std::uint32_t conditions_per_operation = 4;
-/// One condition on the head and one on the final record.
+/// The check of a job needs a condition on its head record and another on its final record.
 constexpr std::uint32_t conditions_per_job = 2;
 }  // namespace
 
--- a/src/api/submissions.cpp
+++ b/src/api/submissions.cpp
@@ -184,8 +184,7 @@
       return reply_state_name(id, *state, submission->reply);
   }
   // Only the leader can determine the state of a job that waits for dependencies. The job is
-  // stored, so no leader accepts it a second time when the submission is forwarded, whatever its
-  // version.
+  // stored, so no leader of any version accepts it a second time when the submission is forwarded.
   const bool should_ask_leader = !submission->dependencies.empty() && !submission->forwarded;
   if (!should_ask_leader || services_.is_leader()) return reply_with_stored_state(submission);
   services_.forward_to_leader(submission->message,
--- a/src/cloud/scale_out.hpp
+++ b/src/cloud/scale_out.hpp
@@ -17,7 +17,7 @@
 ///
 /// Each request has an idempotency key. A request without a response is retried with the same key,
 /// so that no machine is rented twice. If the cloud lacks the capacity for a request, its pool
-/// counts as refused for a while.
+/// counts as refused for `options::refusal_backoff`.
 class scale_out {
  public:
   /// `token` is part of the idempotency keys, so that no two leadership terms use the same key.
--- a/src/dependencies/progress_lookup.hpp
+++ b/src/dependencies/progress_lookup.hpp
@@ -19,9 +19,9 @@
 ///
 /// Most of these jobs ended long ago, so their final records are read first. After a failover there
 /// may be thousands of them; jobs whose ids are close to each other are therefore read in one page.
-/// A job without a final record was accepted by another controller a moment ago, and has a head
-/// record. Jobs that can't be resolved yet go to the end of the queue, so that unreadable records,
-/// however many, don't delay the others.
+/// A job without a final record was accepted by another controller, is not in the leader's job
+/// table yet, and has a head record. Jobs that can't be resolved yet go to the end of the queue, so
+/// that unreadable records, however many, don't delay the others.
 class progress_lookup {
  public:
   /// The owner's callbacks.
--- a/src/job_store/job_state.cpp
+++ b/src/job_store/job_state.cpp
@@ -35,8 +35,8 @@
 /// Only the leader writes a job's records, so its memory is as recent as the state service, except
 /// for writes whose outcome is unknown. Once a write that ends the job was sent, other controllers
 /// may have read and reported the terminal state before the acknowledgement arrives here or the
-/// leader gives up waiting for it. Reporting the job as in progress could then be an older answer
-/// than theirs.
+/// leader gives up waiting for it. Reporting the job as in progress could then be an older state
+/// than the one that those controllers have already reported.
 job_state state_in_memory(const job& job, cancellation_acknowledgement acknowledgement) {
   const bool hidden = hides_cancellation(job, acknowledgement);
   if (job.stored_terminal_state() && !hidden) return *job.stored_terminal_state();
--- a/src/job_store/placement_log.cpp
+++ b/src/job_store/placement_log.cpp
@@ -82,8 +82,9 @@
       least_used_bytes = used;
     }
   }
-  const bool has_room = least_used != slots_.size() && least_used_bytes + needed <= value_bytes_;
-  if (has_room) return least_used;
+  const bool fits_least_used =
+      least_used != slots_.size() && least_used_bytes + needed <= value_bytes_;
+  if (fits_least_used) return least_used;
   if (slots_.size() >= max_written_slots) return std::nullopt;
   slots_.emplace_back();
   return slots_.size() - 1;
--- a/src/job_store/placement_log.hpp
+++ b/src/job_store/placement_log.hpp
@@ -67,7 +67,7 @@
   std::vector<placement> load(const kvstore::entry& stored);
 
  private:
-  /// One key of the log.
+  /// Version and entries of a key of the log.
   struct slot {
     store_revision version;
     std::vector<placement> entries;
--- a/src/job_store/record_reader.hpp
+++ b/src/job_store/record_reader.hpp
@@ -24,7 +24,7 @@
   return read_field(field, [&] { return record.at(field).get<value_type>(); });
 }
 
-/// Returns a mandatory field, whatever the type of its value.
+/// Returns a mandatory field, whose value may have any type.
 inline const nlohmann::json& required_field(const nlohmann::json& record, const char* field) {
   return read_field(field, [&]() -> const nlohmann::json& { return record.at(field); });
 }
--- a/src/peers/peer_network.cpp
+++ b/src/peers/peer_network.cpp
@@ -160,7 +160,8 @@
   if (peer == peers_.end()) return;
   message announcement = new_message(message_kind::job_announced);
   announcement.job = job;
-  // There is no retry: the leader also watches the store, so a lost announcement does little harm.
+  // A lost announcement is not sent again, because it does little harm: the leader also watches the
+  // store for new jobs.
   send(peer->second.address, announcement, announce_deadline, [](const net::response&) {});
 }
 
--- a/src/workers/exit_handler.cpp
+++ b/src/workers/exit_handler.cpp
@@ -31,9 +31,9 @@
   if (cause == exit_cause::unknown) failures_.note_unknown_exit(job);
   outcomes_.end_attempt(job, task);
   await_storage(sender, job, ended);
-  // Other members may still be fetching the image, and stopping them would lose that progress. If
-  // fetching takes longer than a member may wait, a gang that is stopped as a whole each time never
-  // starts.
+  // Other members may still be fetching the image, and stopping them would lose that progress. A
+  // gang whose image took longer to fetch than a member may wait was once stopped as a whole each
+  // time, and never started.
   const bool replaceable =
       cause == exit_cause::gang_incomplete &&
       job.count_gang_wait_timeout() < max_gang_waits_per_member * job.spec().tasks;
--- a/src/workers/heartbeat_reconciliation.cpp
+++ b/src/workers/heartbeat_reconciliation.cpp
@@ -27,7 +27,7 @@
   if (status.phase == attempt_phase::exited) {
     acknowledge_exit(status);
   } else {
-    stop_if_unwanted(status);
+    stop_if_needed(status);
   }
 }
 
@@ -83,21 +83,23 @@
   sender_.unknown_tasks.insert(id);
 }
 
-void heartbeat_reconciliation::stop_if_unwanted(const task_status& status) {
-  const job_store::attempt* wanted = nullptr;
+/// Stops a listed attempt that is not its task's current attempt on this worker, or that the leader
+/// is stopping.
+void heartbeat_reconciliation::stop_if_needed(const task_status& status) {
+  const job_store::attempt* current = nullptr;
   if (const job_store::job* job = services_.jobs.find(status.job); job != nullptr) {
     const auto entry = job->attempts().find(status.task);
     if (entry != job->attempts().end() && entry->second.machine == sender_.name &&
         entry->second.number == status.number)
-      wanted = &entry->second;
+      current = &entry->second;
   }
-  if (wanted == nullptr) {
+  if (current == nullptr) {
     commands_.push_back({command_type::stop, status.job, status.task, status.number, {}});
     sender_.unknown_tasks.insert({status.job, status.task});
     sender_.runs_unknown_tasks = true;
-  } else if (wanted->stopping) {
+  } else if (current->stopping) {
     commands_.push_back(
-        {command_type::stop, status.job, status.task, status.number, wanted->grace});
+        {command_type::stop, status.job, status.task, status.number, current->grace});
   }
 }
 
--- a/src/workers/heartbeat_reconciliation.hpp
+++ b/src/workers/heartbeat_reconciliation.hpp
@@ -53,7 +53,7 @@
   void apply_status(const task_status& status);
   void apply_phase(job_store::job& job, const task_status& status);
   void acknowledge_exit(const task_status& status);
-  void stop_if_unwanted(const task_status& status);
+  void stop_if_needed(const task_status& status);
   void reconcile_missing(const task_id& id);
   missing_attempt classify_missing(const job_store::job& job, std::uint32_t task,
                                    const job_store::attempt& attempt) const;
--- a/src/workers/job_activity.hpp
+++ b/src/workers/job_activity.hpp
@@ -25,7 +25,8 @@
   /// Reports whether the job was active when its record was last read, however long ago. Returns
   /// false for a job that was never read.
   bool is_active(const job_id& id) const;
-  /// Removes statuses that have not been refreshed for a while.
+  /// Removes statuses whose last successful read was sent more than 20 s ago, unless a read is in
+  /// progress.
   void evict_stale();
 
  private:
--- a/src/workers/worker_table.cpp
+++ b/src/workers/worker_table.cpp
@@ -14,7 +14,7 @@
   double used_gb = 0;
   for (std::size_t i = 0; i < images.size(); ++i) {
     used_gb += images[i].size_gb;
-    // The most recently used image is in use and stays, whatever its size.
+    // The most recently used image is in use and stays, even if it exceeds the cache.
     if (i > 0 && used_gb > cache_gb) {
       images.resize(i);
       break;
--- a/tests/reconciler_test.cpp
+++ b/tests/reconciler_test.cpp
@@ -287,7 +287,8 @@
 }
 
 // The back-off of a job that fails everywhere grows each time, but is limited. The job avoids the
-// machines on which it failed only for a while, because these may be the only ones that fit it.
+// machines on which it failed until 45 s after its last failure and no longer, because these may be
+// the only ones that fit it.
 TEST_F(reconciler, failing_job_backs_off_for_a_minute_at_most) {
   for (std::uint64_t round = 0; round < 9; ++round) {
     for (const machine_name& name : std::vector<machine_name>{"m", "n", "o"})
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -23,7 +23,7 @@
 host_name = "node-0"
 front = "10.0.0.1:8080"
 mesh_addr = "10.0.0.1:8081"
-unheard_of = 3
+unknown_field = 3
 [services]
 cloud = "10.2.0.2:8443"
 state = "10.2.0.1:2379"
--- a/tests/support/progress_rules.cpp
+++ b/tests/support/progress_rules.cpp
@@ -9,7 +9,7 @@
 
 constexpr auto check_interval = seconds(1);
 constexpr auto max_time_without_answer = seconds(75);
-constexpr auto max_wait_beside_capacity = seconds(90);
+constexpr auto max_wait_despite_capacity = seconds(90);
 /// The time after submission within which the largest jobs of each kind must start.
 constexpr auto max_start_delay_of_largest = seconds(240);
 /// Tolerance for comparisons of sums of GPUs.
@@ -41,7 +41,7 @@
     context_.violations.add("forgotten: no answer " + job);
   if (!could_start(job)) {
     could_start_since_.erase(job);
-  } else if (now - could_start_since_.emplace(job, now).first->second > max_wait_beside_capacity) {
+  } else if (now - could_start_since_.emplace(job, now).first->second > max_wait_despite_capacity) {
     context_.violations.add("waits beside capacity " + job);
   }
 }
@@ -54,8 +54,8 @@
   if (placed.tasks.size() >= job.tasks || !history_.dependencies_done(id)) return false;
   // A gang with some members placed is being started, so it no longer counts as waiting.
   if (job.gang && !placed.tasks.empty()) return false;
-  const std::size_t wanted = job.gang ? job.tasks : 1;
-  return quota_allows(job, wanted) && has_capacity(job, placed.zone, wanted);
+  const std::size_t needed_tasks = job.gang ? job.tasks : 1;
+  return quota_allows(job, needed_tasks) && has_capacity(job, placed.zone, needed_tasks);
 }
 
 progress_rules::placement progress_rules::placement_of(const std::string& job) const {
--- a/tests/support/sim_cloud.cpp
+++ b/tests/support/sim_cloud.cpp
@@ -52,12 +52,12 @@
     return reply(json_response(200, {{"hosts", rentals_[request_id]}}));
   const auto zone = body.at("yard").get<std::string>();
   const bool spot = body.at("loaners").get<bool>();
-  const auto wanted = body.at("howMany").get<std::size_t>();
+  const auto requested_count = body.at("howMany").get<std::size_t>();
   auto& net = context_.net;
   const auto& parameters = context_.parameters;
   std::vector<std::string> names;
   std::size_t existing = count_machines(zone, spot);
-  for (; names.size() < wanted && existing < parameters.capacity; ++existing) {
+  for (; names.size() < requested_count && existing < parameters.capacity; ++existing) {
     auto& machine = fleet_.create_machine(zone, spot);
     net.after(from_seconds(parameters.boot_s * net.uniform(0.6, 1.5)),
               [&machine] { machine.boot(); });
