--- a/src/daemon/controller.cpp
+++ b/src/daemon/controller.cpp
@@ -87,14 +87,16 @@
 }
 
 peers::peer_network::hooks controller::peer_callbacks() {
-  return {.user = [this](const net::request& message,
-                         const net::reply_fn& reply) { api_.handle(message, true, reply); },
+  return {.handle_user_request =
+              [this](const net::request& message, const net::reply_fn& reply) {
+                api_.handle(message, true, reply);
+              },
           .job_announced = [this](const job_id& job) { fetch_announced_job(job); },
           .store_reachable = [this] { return store_reachable(); },
           .heartbeats_seen = [this] { return heartbeats_.redirected_lately(); },
           .leader =
               [this] {
-                return peers::named_leader{elector_.leader().node, elector_.leader().token};
+                return peers::leader_identity{elector_.leader().node, elector_.leader().token};
               },
           .leader_observed = [this](const node_name& node,
                                     fencing_token token) { elector_.observe_leader(node, token); }};
@@ -246,7 +248,8 @@
   add_metrics(metrics_, report);
   add_peers(peers_, report);
   if (term_) report["term"] = term_->status();
-  if (!dependencies_supported()) report["waiting_for_versions_of"] = texts_of(versions_.missing());
+  if (!dependencies_supported())
+    report["waiting_for_versions_of"] = texts_of(versions_.nodes_without_support());
   return report.dump();
 }
 
--- a/src/leader/leader_term.cpp
+++ b/src/leader/leader_term.cpp
@@ -169,7 +169,7 @@
   workers_.ready();
   machines_.start();
   spdlog::info("term_ready term={} jobs={} waiting_for_dependencies={} after_ms={}", token_,
-               jobs_.all().size(), dependencies_.waiting_jobs(),
+               jobs_.all().size(), dependencies_.waiting_job_count(),
                std::chrono::duration_cast<milliseconds>(runtime_.now() - term_start_).count());
   heartbeats_.receive_early();
 }
@@ -229,11 +229,13 @@
   std::size_t reporting = 0;
   for (const auto& [name, worker] : workers_.all())
     reporting += workers_.heartbeat_overdue(worker) ? 0 : 1;
-  return {
-      {"token", token_.value()},       {"ready", ready()},
-      {"jobs", jobs_.all().size()},    {"waiting_for_dependencies", dependencies_.waiting_jobs()},
-      {"unstored", jobs_.backlog()},   {"machines", machines_.all().size()},
-      {"workers_reporting", reporting}};
+  return {{"token", token_.value()},
+          {"ready", ready()},
+          {"jobs", jobs_.all().size()},
+          {"waiting_for_dependencies", dependencies_.waiting_job_count()},
+          {"unstored", jobs_.backlog()},
+          {"machines", machines_.all().size()},
+          {"workers_reporting", reporting}};
 }
 
 }  // namespace gingerdrift::leader
--- a/src/leader/leader_term.hpp
+++ b/src/leader/leader_term.hpp
@@ -75,7 +75,7 @@
 
  private:
   // What the dependency tracker asks and tells.
-  void take_job(const kvstore::entry& head, time_point read_at) override {
+  void load_job(const kvstore::entry& head, time_point read_at) override {
     loader_.add_record(head, read_at);
   }
   std::optional<job_store::terminal_state> cached_terminal_state(const job_id& job) override {
